--- a/bench/overload_run.cc
+++ b/bench/overload_run.cc
@@ -144,18 +144,18 @@
 
   void TellEachOther(Time now) {
     for (int from = 0; from < kHomes; ++from) {
-      const auto& uses = m_rooms[static_cast<std::size_t>(from)]->OwnUses();
+      const auto& uses = m_rooms[static_cast<std::size_t>(from)]->LocalUsageByPartition();
       for (int to = 0; to < kHomes; ++to) {
         if (to == from) continue;
-        m_rooms[static_cast<std::size_t>(to)]->TakeUses(
+        m_rooms[static_cast<std::size_t>(to)]->SetPeerUsage(
             "home-" + std::to_string(from), uses, now);
       }
     }
     for (auto& room : m_rooms) room->Sweep(now);
     for (const auto& from : m_shares) {
-      const auto charges = from->TakeUntold();
+      const auto charges = from->TakeUnsent();
       for (const auto& to : m_shares) {
-        if (to != from) to->Hear(charges, now);
+        if (to != from) to->MergePeer(charges, now);
       }
     }
   }
@@ -189,9 +189,9 @@
     for (std::size_t i = 0; i < candidates.size(); ++i) {
       traffic::Candidate& candidate = candidates[i];
       candidate.server = &m_servers[i];
-      candidate.own_load = m_own[node][i];
+      candidate.local_load = m_own[node][i];
       for (std::size_t other = 0; other < kNodes; ++other) {
-        if (other != node) candidate.others_load += m_told[other][i];
+        if (other != node) candidate.peer_load += m_told[other][i];
       }
       candidate.same_zone = i % kZones == node % kZones;
       candidate.holds_prefix = warm == i;
@@ -295,7 +295,7 @@
     ask.partition = static_cast<int>(i % kHomes);
     ask.under_way = client.turn > 0;
     ask.prompt_tokens = client.history + turn.input;
-    ask.most_tokens = 2 * turn.made;
+    ask.max_tokens = 2 * turn.made;
     ask.left = static_cast<Duration>(program.aim - (m_now - program.asks));
     return ask;
   }
@@ -312,9 +312,9 @@
     if (client.turn == 0 && client.tries == 0) client.history = kSharedTokens;
     if (!DoorOpen()) {
       const auto ask = AskOf(i);
-      const auto answer = m_homes->Of(i).Ask(ask, AllRoom(), Clock());
-      if (!answer.may_run) {
-        Refuse(i, answer.retry);
+      const auto answer = m_homes->Of(i).TryAdmit(ask, AllRoom(), Clock());
+      if (!answer.admitted) {
+        Refuse(i, answer.retry_delay);
         return;
       }
       client.let_in = true;
@@ -364,7 +364,7 @@
     if (client.run != run) return;
     m_servers[*client.server].Drop(run);
     EndRun(i);
-    if (client.let_in) m_homes->Of(i).Withdraw(AskOf(i), Clock());
+    if (client.let_in) m_homes->Of(i).CancelAdmission(AskOf(i), Clock());
     client.let_in = false;
     if (client.tries++ == kRestarts) {
       m_result.programs[i].outcome = Outcome::kFailed;
@@ -386,7 +386,7 @@
     OverloadProgram&   program = m_result.programs[i];
     const PlannedTurn& turn = program.turns[client.turn];
     EndRun(i);
-    if (client.let_in) m_homes->Of(i).TurnEnded(AskOf(i), turn.made, Clock());
+    if (client.let_in) m_homes->Of(i).OnTurnEnded(AskOf(i), turn.made, Clock());
     client.let_in = false;
     client.history += turn.input + turn.made;
     client.tries = 0;
--- a/src/yuccawick/admission/program_room.cc
+++ b/src/yuccawick/admission/program_room.cc
@@ -27,7 +27,7 @@
 
 RoomUse& RoomUse::operator+=(const RoomUse& other) {
   programs += other.programs;
-  places += other.places;
+  slots += other.slots;
   memory += other.memory;
   return *this;
 }
@@ -38,14 +38,14 @@
 
 // Asking ---------------------------------------------------------------------
 
-RoomAnswer ProgramRoom::Ask(const TurnAsk&               ask,
+RoomAnswer ProgramRoom::TryAdmit(const TurnAsk&               ask,
                             const capacity::ServiceRoom& room, Time now) {
   const auto known = m_programs.find(ask.program);
   if (known != m_programs.end()) {
     AddTurn(&known->second, ask, now);
     return {};
   }
-  const bool counts = m_settings->places > 0 && room.known();
+  const bool counts = m_settings->slot_overcommit > 0 && room.known();
   if (counts && !ask.under_way) {
     const ReturnList::Entry* sent_away = m_returns.Find(ask.program);
     const auto               slack = SlackOf(ask, sent_away);
@@ -76,11 +76,11 @@
 // With more turns under way each takes longer: a program may begin while it
 // would still be in time, in the part of its time that it does not need.
 double ProgramRoom::MostPlaces(const TurnAsk& ask, bool late) {
-  if (!ask.left || late) return m_settings->places;
+  if (!ask.left || late) return m_settings->slot_overcommit;
   // What is learned while servers are overloaded is more than programs need.
   const double needs =
       std::clamp(ProfileOf(ask.route).TimeShare(), kLeastNeeds, kMostNeeds);
-  return m_settings->places / needs;
+  return m_settings->slot_overcommit / needs;
 }
 
 bool ProgramRoom::Fits(const TurnAsk& ask, std::optional<Duration> slack,
@@ -88,23 +88,23 @@
                        Time now) {
   const bool late = slack && *slack <= 0;
   RoomUse    use = TotalUse(now);
-  use.places += 1;
+  use.slots += 1;
   use.memory += LikelyTokens(ask);
   const auto memory = static_cast<double>(use.memory);
   const auto most_memory = static_cast<double>(room.memory);
-  if (use.places <= room.places * m_settings->idle) {
+  if (use.slots <= room.slots * m_settings->idle) {
     return memory <=
            most_memory * std::max(kMemoryWhenIdle, m_settings->memory);
   }
   if (now - m_started < m_settings->settling) return false;
   double share =
-      m_share->ShareFor({ask.workspace, ask.route, ask.priority, late}, now);
+      m_share->AdmissionThreshold({ask.workspace, ask.route, ask.priority, late}, now);
   if (late) share = std::min(share, m_settings->late);
   // Those that came before and can still be in time go first.
   const auto kept =
-      returns && !late ? 0.0 : static_cast<double>(m_returns.Due(now));
+      returns && !late ? 0.0 : static_cast<double>(m_returns.CountDue(now));
   const auto kept_memory = kept * static_cast<double>(LikelyTokens(ask));
-  return use.places + kept <= room.places * MostPlaces(ask, late) * share &&
+  return use.slots + kept <= room.slots * MostPlaces(ask, late) * share &&
          memory + kept_memory <= most_memory * m_settings->memory * share;
 }
 
@@ -116,38 +116,38 @@
                                  Time now) const {
   constexpr int kMostDoublings = 4;
   const bool    late = slack && *slack <= 0;
-  const auto    ahead = static_cast<double>(m_returns.Ahead(late, now) + 1);
+  const auto    ahead = static_cast<double>(m_returns.CountAhead(late, now) + 1);
   const auto    gap = m_end_gap.empty() ? 0.0 : m_end_gap.value();
-  Duration      most = m_settings->return_most;
+  Duration      most = m_settings->max_retry_delay;
   if (slack && !late) most = std::min(most, *slack / 3);
   const Duration least =
-      std::min(m_settings->return_least << std::min(refusals, kMostDoublings),
-               m_settings->return_most);
+      std::min(m_settings->min_retry_delay << std::min(refusals, kMostDoublings),
+               m_settings->max_retry_delay);
   return std::clamp(static_cast<Duration>(ahead * gap), least,
                     std::max(least, most));
 }
 
-Duration ProgramRoom::RetryFor(const std::string& program, Time now) const {
+Duration ProgramRoom::RetryDelay(const std::string& program, Time now) const {
   const ReturnList::Entry* entry = m_returns.Find(program);
-  if (entry == nullptr) return m_settings->return_least;
+  if (entry == nullptr) return m_settings->min_retry_delay;
   return std::max((entry->from + entry->until) / 2 - now,
-                  m_settings->return_least);
+                  m_settings->min_retry_delay);
 }
 
 RouteProfile& ProgramRoom::ProfileOf(const std::string& route) {
   const auto found = m_profiles.find(route);
   if (found != m_profiles.end()) return found->second;
   if (m_profiles.size() >= kMostRoutes) m_profiles.erase(m_profiles.begin());
-  return m_profiles.emplace(route, RouteProfile(m_settings->silence))
+  return m_profiles.emplace(route, RouteProfile(m_settings->default_think_time))
       .first->second;
 }
 
 Tokens ProgramRoom::LikelyTokens(const TurnAsk& ask) {
-  return std::max(ask.prompt_tokens + ask.most_tokens,
+  return std::max(ask.prompt_tokens + ask.max_tokens,
                   ProfileOf(ask.route).EndTokens());
 }
 
-int ProgramRoom::TakeRefused() { return std::exchange(m_refused, 0); }
+int ProgramRoom::TakeRefusedCount() { return std::exchange(m_refused, 0); }
 
 // Turns ----------------------------------------------------------------------
 
@@ -165,17 +165,17 @@
 
 void ProgramRoom::AddTurn(Program* program, const TurnAsk& ask, Time now) {
   if (program->turns == 0 && program->changed < now) {
-    ProfileOf(program->route).NoteSilence(now - program->changed);
+    ProfileOf(program->route).ObserveThinkTime(now - program->changed);
   }
   program->work += program->turns * static_cast<double>(now - program->changed);
   program->changed = now;
   ++program->turns;
-  m_own[program->partition].places += 1;
+  m_own[program->partition].slots += 1;
   program->tokens = std::max(program->tokens, ask.prompt_tokens);
   Hold(program);
 }
 
-void ProgramRoom::TurnEnded(const TurnAsk& ask, Tokens used, Time now) {
+void ProgramRoom::OnTurnEnded(const TurnAsk& ask, Tokens used, Time now) {
   const auto found = m_programs.find(ask.program);
   if (found == m_programs.end() || found->second.turns == 0) return;
   Program& program = found->second;
@@ -185,7 +185,7 @@
   Hold(&program);
 }
 
-void ProgramRoom::Withdraw(const TurnAsk& ask, Time now) {
+void ProgramRoom::CancelAdmission(const TurnAsk& ask, Time now) {
   const auto found = m_programs.find(ask.program);
   if (found == m_programs.end() || found->second.turns == 0) return;
   EndTurn(&found->second, now);
@@ -195,7 +195,7 @@
   program->work += program->turns * static_cast<double>(now - program->changed);
   program->changed = now;
   --program->turns;
-  m_own[program->partition].places -= 1;
+  m_own[program->partition].slots -= 1;
 }
 
 // Programs -------------------------------------------------------------------
@@ -223,8 +223,8 @@
 
 Duration ProgramRoom::LongestSilence(const Program& program) {
   return static_cast<Duration>(
-      m_settings->silence_margin *
-      static_cast<double>(ProfileOf(program.route).LongestSilence()));
+      m_settings->think_time_factor *
+      static_cast<double>(ProfileOf(program.route).MaxThinkTime()));
 }
 
 void ProgramRoom::Sweep(Time now) {
@@ -232,7 +232,7 @@
   for (auto& [name, program] : m_programs) {
     const Duration unchanged = now - program.changed;
     if (unchanged > kLongestTurn) {
-      m_own[program.partition].places -= std::exchange(program.turns, 0);
+      m_own[program.partition].slots -= std::exchange(program.turns, 0);
     }
     const bool silent = program.turns == 0 && program.counted &&
                         unchanged > LongestSilence(program);
@@ -242,7 +242,7 @@
   }
   if (ended > 0) {
     // After a lull the gap says nothing of the rate when there is no room.
-    const Duration since = std::min(now - m_ended_at, m_settings->return_most);
+    const Duration since = std::min(now - m_ended_at, m_settings->max_retry_delay);
     const auto     gap = static_cast<double>(since) / ended;
     for (int i = 0; i < ended; ++i) m_end_gap.Note(gap);
     m_ended_at = now;
@@ -256,13 +256,13 @@
 
 // Other homes ----------------------------------------------------------------
 
-RoomUse ProgramRoom::OwnUse() const {
+RoomUse ProgramRoom::LocalUsage() const {
   RoomUse own;
   for (const auto& [partition, use] : m_own) own += use;
   return own;
 }
 
-void ProgramRoom::TakeUses(const std::string& home, const PartitionUses& uses,
+void ProgramRoom::SetPeerUsage(const std::string& home, const PartitionUses& uses,
                            Time now) {
   m_homes[home] = {uses, now, m_begun};
 }
@@ -271,18 +271,18 @@
   PartitionUses parts = m_own;
   RoomUse       total;
   for (const auto& [name, home] : m_homes) {
-    if (now - home.heard > m_settings->use_memory) continue;
+    if (now - home.heard > m_settings->usage_report_ttl) continue;
     for (const auto& [partition, use] : home.uses) {
       // A turn is counted by the home that let it in; a program by each home
       // that one of its turns came to.
       RoomUse& part = parts[partition];
       part.programs = std::max(part.programs, use.programs);
-      part.places += use.places;
+      part.slots += use.slots;
       part.memory = std::max(part.memory, use.memory);
     }
     // What begins here without its knowledge begins there as well.
     total += {m_begun.programs - home.begun_before.programs,
-              m_begun.places - home.begun_before.places,
+              m_begun.slots - home.begun_before.slots,
               m_begun.memory - home.begun_before.memory};
   }
   for (const auto& [partition, use] : parts) total += use;
--- a/src/yuccawick/admission/program_room.h
+++ b/src/yuccawick/admission/program_room.h
@@ -46,7 +46,7 @@
   // of the service: some wait for tokens or are on their way. More for those
   // with time to spare, by as much as their turns may take longer. 0: programs
   // are not counted, all begin.
-  double   places = 1.6;
+  double   slot_overcommit = 1.6;
   // Memory that programs under way may take at their likely ends, in the
   // service's memory.
   double   memory = 1.0;
@@ -61,14 +61,14 @@
   Duration settling = 1000;
   // Pauses of a route's programs until some were seen, in ms, and what is added
   // to the longest usual one.
-  Duration silence = 500;
-  double   silence_margin = 1.25;
+  Duration default_think_time = 500;
+  double   think_time_factor = 1.25;
   // Bounds of the time after which a program may come back, in ms: a turn, and
   // what clients wait of the few seconds that they have.
-  Duration return_least = 100;
-  Duration return_most = 1200;
+  Duration min_retry_delay = 100;
+  Duration max_retry_delay = 1200;
   // ms for which the word of another home holds.
-  Duration use_memory = 700;
+  Duration usage_report_ttl = 700;
 };
 
 struct TurnAsk {
@@ -80,14 +80,14 @@
   int                     priority = 0;       // 0 is first
   bool                    under_way = false;  // known from before this turn
   Tokens                  prompt_tokens = 0;  // but those that programs share
-  Tokens                  most_tokens = 0;    // that the turn may generate
+  Tokens                  max_tokens = 0;    // that the turn may generate
   std::optional<Duration> left;  // ms until the program should be finished
 };
 
 // What programs take of a service.
 struct RoomUse {
   int    programs = 0;
-  double places = 0;  // turns under way
+  double slots = 0;  // turns under way
   Tokens memory = 0;
 
   bool     operator==(const RoomUse&) const = default;
@@ -96,8 +96,8 @@
 using PartitionUses = std::map<int, RoomUse>;  // by partition
 
 struct RoomAnswer {
-  bool     may_run = true;
-  Duration retry = 0;  // ms until there will be room; spread by the caller
+  bool     admitted = true;
+  Duration retry_delay = 0;  // ms until there will be room; spread by the caller
 };
 
 class ProgramRoom {
@@ -105,23 +105,23 @@
   ProgramRoom(const AdmissionSettings* settings, fairness::BeginShare* share,
               Time started);
 
-  RoomAnswer Ask(const TurnAsk& ask, const capacity::ServiceRoom& room,
+  RoomAnswer TryAdmit(const TurnAsk& ask, const capacity::ServiceRoom& room,
                  Time now);
   // `used`: tokens that the turn generated.
-  void       TurnEnded(const TurnAsk& ask, Tokens used, Time now);
-  void       Withdraw(const TurnAsk& ask, Time now);
+  void       OnTurnEnded(const TurnAsk& ask, Tokens used, Time now);
+  void       CancelAdmission(const TurnAsk& ask, Time now);
   // Until a program that was refused should come back, in ms.
-  Duration   RetryFor(const std::string& program, Time now) const;
+  Duration   RetryDelay(const std::string& program, Time now) const;
   void       Sweep(Time now);
 
-  const PartitionUses& OwnUses() const { return m_own; }
-  RoomUse              OwnUse() const;
-  void TakeUses(const std::string& home, const PartitionUses& uses, Time now);
+  const PartitionUses& LocalUsageByPartition() const { return m_own; }
+  RoomUse              LocalUsage() const;
+  void SetPeerUsage(const std::string& home, const PartitionUses& uses, Time now);
   // Of all homes, as far as known. Programs whose partition moves from one home
   // to another, or has two while nodes are cut off, are seen by both.
   RoomUse TotalUse(Time now) const;
   // Refused since the last call.
-  int     TakeRefused();
+  int     TakeRefusedCount();
   bool    empty() const { return m_programs.empty(); }
 
  private:
--- a/src/yuccawick/admission/return_list.cc
+++ b/src/yuccawick/admission/return_list.cc
@@ -45,14 +45,14 @@
   m_entries.erase(program);
 }
 
-std::size_t ReturnList::Ahead(bool late, Time now) const {
+std::size_t ReturnList::CountAhead(bool late, Time now) const {
   return static_cast<std::size_t>(
       std::count_if(m_entries.begin(), m_entries.end(), [&](const auto& each) {
         return each.second.until > now && (late || !each.second.late);
       }));
 }
 
-std::size_t ReturnList::Due(Time now) const {
+std::size_t ReturnList::CountDue(Time now) const {
   return static_cast<std::size_t>(
       std::count_if(m_entries.begin(), m_entries.end(), [&](const auto& each) {
         const Entry& entry = each.second;
--- a/src/yuccawick/admission/return_list.h
+++ b/src/yuccawick/admission/return_list.h
@@ -35,9 +35,9 @@
            Duration retry, Time now);
   void Remove(const std::string& program);
   // How many come back that go before a program that is, or is not, late.
-  std::size_t Ahead(bool late, Time now) const;
+  std::size_t CountAhead(bool late, Time now) const;
   // How many that are in time may come at any moment now.
-  std::size_t Due(Time now) const;
+  std::size_t CountDue(Time now) const;
   void        Sweep(Time now);
   std::size_t size() const { return m_entries.size(); }
 
--- a/src/yuccawick/admission/route_profile.cc
+++ b/src/yuccawick/admission/route_profile.cc
@@ -38,7 +38,7 @@
   }
 }
 
-void RouteProfile::NoteSilence(Duration silence) {
+void RouteProfile::ObserveThinkTime(Duration silence) {
   m_silence.Note(static_cast<double>(std::max<Duration>(1, silence)));
 }
 
@@ -46,7 +46,7 @@
   return static_cast<Tokens>(m_end_tokens.value());
 }
 
-Duration RouteProfile::LongestSilence() const {
+Duration RouteProfile::MaxThinkTime() const {
   return static_cast<Duration>(m_silence.value());
 }
 
--- a/src/yuccawick/admission/route_profile.h
+++ b/src/yuccawick/admission/route_profile.h
@@ -46,12 +46,12 @@
   // A program ended with so many tokens after `took`; `stated`: the time that
   // it said at its first turn that it has, 0 if it said none.
   void NoteEnd(Tokens tokens, Duration took, Duration stated);
-  void NoteSilence(Duration silence);
+  void ObserveThinkTime(Duration silence);
 
   // Tokens of a program at its end, on average; 0: none was seen yet.
   Tokens   EndTokens() const;
   // Hardly any program is silent for longer and goes on.
-  Duration LongestSilence() const;
+  Duration MaxThinkTime() const;
   // What a program takes of the time that it states, when all goes well.
   double   TimeShare() const;
 
--- a/src/yuccawick/capacity/server_pace.cc
+++ b/src/yuccawick/capacity/server_pace.cc
@@ -35,20 +35,20 @@
   weight += value_weight;
 }
 
-void ServerPace::Observe(const Pace& seen, Time now) {
+void ServerPace::Observe(const SlowdownEstimate& seen, Time now) {
   Add(seen, now);
   m_untold.Add(std::log(seen.factor), seen.samples);
 }
 
-void ServerPace::Hear(const Pace& seen, Time now) {
+void ServerPace::MergePeer(const SlowdownEstimate& seen, Time now) {
   if (!(seen.samples > 0 && seen.factor > 0)) return;
-  Add({seen.factor, std::min(seen.samples, m_settings.memory)}, now);
+  Add({seen.factor, std::min(seen.samples, m_settings.max_samples)}, now);
 }
 
-void ServerPace::Add(const Pace& seen, Time now) {
+void ServerPace::Add(const SlowdownEstimate& seen, Time now) {
   const double value = std::clamp(std::log(seen.factor), -kMostLog, kMostLog);
   const double off = value - m_lasting.Held(kLastingDoubt);
-  m_lasting.Fade(std::pow(1.0 - 1.0 / m_settings.memory, seen.samples));
+  m_lasting.Fade(std::pow(1.0 - 1.0 / m_settings.max_samples, seen.samples));
   m_lasting.Add(value, seen.samples);
   const double keep = std::pow(kSpellKeep, seen.samples);
   m_spell.Fade(keep * SpellKept(now));
@@ -58,10 +58,10 @@
 
 double ServerPace::SpellKept(Time now) const {
   const auto age = static_cast<double>(now - m_spell_as_of);
-  return std::exp2(-age / static_cast<double>(m_settings.spell_half_life));
+  return std::exp2(-age / static_cast<double>(m_settings.transient_half_life));
 }
 
-Pace ServerPace::Lasting() const {
+SlowdownEstimate ServerPace::Lasting() const {
   return {std::exp(m_lasting.Held(kLastingDoubt)), m_lasting.weight};
 }
 
@@ -73,18 +73,18 @@
   return std::exp(m_lasting.Held(kLastingDoubt) + slower);
 }
 
-Pace ServerPace::Untold() const {
+SlowdownEstimate ServerPace::Unsent() const {
   if (m_untold.weight <= 0) return {};
   return {std::exp(m_untold.Held(0)), m_untold.weight};
 }
 
-Pace ServerPace::TakeUntold() {
-  const Pace untold = Untold();
+SlowdownEstimate ServerPace::TakeUnsent() {
+  const SlowdownEstimate untold = Unsent();
   m_untold = {};
   return untold;
 }
 
-bool ServerPace::HasNews() const {
+bool ServerPace::NeedsImmediateReport() const {
   return m_untold.weight > 0 &&
          std::abs(m_untold.Held(0) - m_lasting.Held(kLastingDoubt)) > kLn2;
 }
@@ -101,7 +101,7 @@
   return std::exchange(m_slow, slow) != slow;
 }
 
-std::optional<Pace> PaceScale::Compare(std::string_view kind, double took,
+std::optional<SlowdownEstimate> PaceScale::Compare(std::string_view kind, double took,
                                        double pace, Time now) {
   constexpr double kShortest = 0.5;  // ms; the clock shows no less
   Usual&           usual = m_kinds[std::string(kind)];
@@ -118,13 +118,13 @@
   usual.used = now;
   if (!enough) return std::nullopt;
   const double counts = std::min(1.0, kFullScatter / std::max(1e-6, scatter));
-  return Pace{std::exp(std::clamp(seen, -kMostLog, kMostLog)), counts};
+  return SlowdownEstimate{std::exp(std::clamp(seen, -kMostLog, kMostLog)), counts};
 }
 
 void PaceScale::Recenter(const std::vector<ServerPace*>& servers) {
   std::vector<double> paces;
   for (const ServerPace* server : servers) {
-    const Pace lasting = server->Lasting();
+    const SlowdownEstimate lasting = server->Lasting();
     if (lasting.samples >= kSamplesEnough) paces.push_back(lasting.factor);
   }
   if (paces.empty()) return;
--- a/src/yuccawick/capacity/server_pace.h
+++ b/src/yuccawick/capacity/server_pace.h
@@ -32,14 +32,14 @@
 using net::Duration;
 using net::Time;
 
-struct Pace {
+struct SlowdownEstimate {
   double factor = 1.0;   // of the median time
   double samples = 0.0;  // observations that it rests on; older ones count less
 };
 
 struct PaceSettings {
-  double   memory = 200.0;  // observations that the lasting pace rests on
-  Duration spell_half_life = 150;  // ms
+  double   max_samples = 200.0;  // observations that the lasting pace rests on
+  Duration transient_half_life = 150;  // ms
   // A server is slow from the first on, until it is below the second.
   double   slow = 1.4;
   double   fast_again = 1.25;
@@ -60,18 +60,18 @@
   explicit ServerPace(const PaceSettings& settings) : m_settings(settings) {}
 
   // Seen here; to be told to neighbours.
-  void   Observe(const Pace& seen, Time now);
+  void   Observe(const SlowdownEstimate& seen, Time now);
   // Seen by a neighbour.
-  void   Hear(const Pace& seen, Time now);
-  Pace   Lasting() const;
+  void   MergePeer(const SlowdownEstimate& seen, Time now);
+  SlowdownEstimate   Lasting() const;
   // Lasting pace and spell together.
   double At(Time now) const;
 
-  Pace Untold() const;
-  Pace TakeUntold();
+  SlowdownEstimate Unsent() const;
+  SlowdownEstimate TakeUnsent();
   // Whether untold observations are far from the lasting pace, so that they
   // are worth a message of their own.
-  bool HasNews() const;
+  bool NeedsImmediateReport() const;
 
   // Changes the unit of what was observed, not what follows.
   void Rescale(double by);
@@ -80,7 +80,7 @@
   bool UpdateSlow();
 
  private:
-  void   Add(const Pace& seen, Time now);
+  void   Add(const SlowdownEstimate& seen, Time now);
   double SpellKept(Time now) const;
 
   PaceSettings m_settings;
@@ -95,7 +95,7 @@
  public:
   // Pace that a piece of work of this kind shows, which took `took` ms at a
   // server of the given pace; nothing while too few were seen to compare with.
-  std::optional<Pace> Compare(std::string_view kind, double took, double pace,
+  std::optional<SlowdownEstimate> Compare(std::string_view kind, double took, double pace,
                               Time now);
   // Makes the median of these lasting paces 1. Observations of servers that
   // nothing is known of say nothing.
--- a/src/yuccawick/capacity/service_room.h
+++ b/src/yuccawick/capacity/service_room.h
@@ -11,10 +11,10 @@
 
 struct ServiceRoom {
   int          servers = 0;  // listed, not leaving
-  double       places = 0;   // requests at once; a slow server's count less
+  double       slots = 0;   // requests at once; a slow server's count less
   std::int64_t memory = 0;   // tokens, shared by runs and cached prompts
 
-  bool known() const { return servers > 0 && places > 0 && memory > 0; }
+  bool known() const { return servers > 0 && slots > 0 && memory > 0; }
 };
 
 }  // namespace yuccawick::capacity
--- a/src/yuccawick/fairness/begin_share.h
+++ b/src/yuccawick/fairness/begin_share.h
@@ -34,25 +34,25 @@
  public:
   virtual ~BeginShare() = default;
   // In (0, 1].
-  virtual double ShareFor(const Beginner& beginner, Time now) = 0;
+  virtual double AdmissionThreshold(const Beginner& beginner, Time now) = 0;
   // A turn of the workspace took `work` ms of a place at a model server.
   virtual void Charge(const std::string& workspace, double work, Time now) = 0;
   // What was charged here since the last call, for the other homes; and what
   // another home charged.
-  virtual std::vector<WorkCharge> TakeUntold() = 0;
-  virtual void Hear(const std::vector<WorkCharge>& charges, Time now) = 0;
+  virtual std::vector<WorkCharge> TakeUnsent() = 0;
+  virtual void MergePeer(const std::vector<WorkCharge>& charges, Time now) = 0;
 };
 
 // The baseline: first come, first served.
 class EqualShare final : public BeginShare {
  public:
-  double ShareFor(const Beginner& /*beginner*/, Time /*now*/) override {
+  double AdmissionThreshold(const Beginner& /*beginner*/, Time /*now*/) override {
     return 1.0;
   }
   void Charge(const std::string& /*workspace*/, double /*work*/,
               Time /*now*/) override {}
-  std::vector<WorkCharge> TakeUntold() override { return {}; }
-  void Hear(const std::vector<WorkCharge>& /*charges*/, Time /*now*/) override {
+  std::vector<WorkCharge> TakeUnsent() override { return {}; }
+  void MergePeer(const std::vector<WorkCharge>& /*charges*/, Time /*now*/) override {
   }
 };
 
--- a/src/yuccawick/fairness/fair_begin.cc
+++ b/src/yuccawick/fairness/fair_begin.cc
@@ -18,7 +18,7 @@
 FairBegin::FairBegin(const FairBeginSettings& settings, PriorityOf priority_of)
     : m_settings(settings), m_priority_of(std::move(priority_of)) {}
 
-double FairBegin::ShareFor(const Beginner& beginner, Time now) {
+double FairBegin::AdmissionThreshold(const Beginner& beginner, Time now) {
   double margin = UrgencyMargin(beginner.priority, now);
   if (beginner.late) margin += m_settings.late;
   if (IsOpen(now)) margin = 0;
@@ -38,7 +38,7 @@
   untold.turns += charge.turns;
 }
 
-std::vector<WorkCharge> FairBegin::TakeUntold() {
+std::vector<WorkCharge> FairBegin::TakeUnsent() {
   std::vector<WorkCharge> charges;
   charges.reserve(m_untold.size());
   for (auto& [workspace, charge] : m_untold) {
@@ -48,7 +48,7 @@
   return charges;
 }
 
-void FairBegin::Hear(const std::vector<WorkCharge>& charges, Time now) {
+void FairBegin::MergePeer(const std::vector<WorkCharge>& charges, Time now) {
   for (const WorkCharge& charge : charges) {
     const bool sound =
         !charge.workspace.empty() && std::isfinite(charge.work) &&
@@ -58,7 +58,7 @@
 }
 
 void FairBegin::Add(const WorkCharge& charge, Time now) {
-  if (now - m_origin >= m_settings.memory) Sweep(now);
+  if (now - m_origin >= m_settings.usage_half_life) Sweep(now);
   auto it = m_uses.find(charge.workspace);
   if (it == m_uses.end()) {
     if (static_cast<std::int64_t>(m_uses.size()) >= m_settings.workspaces) {
@@ -74,13 +74,13 @@
   m_turns += charge.turns * growth;
 }
 
-std::vector<FairBegin::User> FairBegin::TopUsers(std::size_t most) const {
-  std::vector<User> users;
+std::vector<FairBegin::WorkspaceUsage> FairBegin::TopWorkspaces(std::size_t most) const {
+  std::vector<WorkspaceUsage> users;
   users.reserve(m_uses.size());
   for (const auto& [workspace, use] : m_uses) {
     users.push_back({workspace, use.work / m_work, UseMargin(use)});
   }
-  const auto first = [](const User& a, const User& b) {
+  const auto first = [](const WorkspaceUsage& a, const WorkspaceUsage& b) {
     return std::tie(b.part, a.workspace) < std::tie(a.part, b.workspace);
   };
   const auto end =
@@ -92,7 +92,7 @@
 
 double FairBegin::Growth(Time now) const {
   return std::exp2(static_cast<double>(now - m_origin) /
-                   static_cast<double>(m_settings.memory));
+                   static_cast<double>(m_settings.usage_half_life));
 }
 
 double FairBegin::UseMargin(const Use& use) const {
@@ -102,7 +102,7 @@
   const double credit = m_settings.credit_turns * m_work / m_turns;
   const double average = std::max((m_work - use.work) / others_weight, credit);
   const double doublings = std::log2(use.work / use.weight / average);
-  return std::clamp(m_settings.step * doublings, 0.0, m_settings.most);
+  return std::clamp(m_settings.step * doublings, 0.0, m_settings.max_usage_margin);
 }
 
 double FairBegin::UrgencyMargin(int priority, Time now) {
@@ -116,7 +116,7 @@
 
 bool FairBegin::HasAsked(int level, Time now) const {
   const auto& asked = m_asked[static_cast<std::size_t>(level)];
-  return asked && now - *asked < m_settings.memory;
+  return asked && now - *asked < m_settings.usage_half_life;
 }
 
 double FairBegin::WeightOf(const std::string& workspace) const {
--- a/src/yuccawick/fairness/fair_begin.h
+++ b/src/yuccawick/fairness/fair_begin.h
@@ -34,12 +34,12 @@
 // Times in ms, margins as parts of the room.
 struct FairBeginSettings {
   // Half-life of use and of what is known of urgent routes.
-  Duration     memory = 4000;
+  Duration     usage_half_life = 4000;
   // For each doubling of a workspace's use above the others' average. Turns
   // under way at a service of 70 places vary by a tenth by chance; a smaller
   // margin is taken whenever they are few for a moment.
   double       step = 0.15;
-  double       most = 0.2;
+  double       max_usage_margin = 0.2;
   // A workspace is not ahead by so many turns of average work: one program.
   double       credit_turns = 10;
   double       urgency = 0.025;  // for each level behind the most urgent
@@ -57,18 +57,18 @@
 
   FairBegin(const FairBeginSettings& settings, PriorityOf priority_of);
 
-  double ShareFor(const Beginner& beginner, Time now) override;
+  double AdmissionThreshold(const Beginner& beginner, Time now) override;
   void   Charge(const std::string& workspace, double work, Time now) override;
-  std::vector<WorkCharge> TakeUntold() override;
-  void Hear(const std::vector<WorkCharge>& charges, Time now) override;
+  std::vector<WorkCharge> TakeUnsent() override;
+  void MergePeer(const std::vector<WorkCharge>& charges, Time now) override;
 
-  struct User {
+  struct WorkspaceUsage {
     std::string workspace;
     double      part = 0;    // of all use
     double      margin = 0;  // that it leaves now
   };
   // Those that use most, the first one first.
-  std::vector<User> TopUsers(std::size_t most) const;
+  std::vector<WorkspaceUsage> TopWorkspaces(std::size_t most) const;
   std::size_t       workspaces() const { return m_uses.size(); }
 
  private:
--- a/src/yuccawick/gateway/backends.cc
+++ b/src/yuccawick/gateway/backends.cc
@@ -42,7 +42,7 @@
       m_thresholds(thresholds),
       m_server_id(std::move(server_id)),
       m_on_idle_lost(std::move(on_idle_lost)),
-      m_held_output(memory, pressure::Held::kToServers),
+      m_held_output(memory, pressure::MemoryKind::kToServers),
       m_stream(loop, this, fd, true, &m_held_output),
       m_reader(net::HttpRole::kResponses, kAnswerLimits, this) {
   m_connect_timer = loop->After(m_thresholds->connect_timeout, [this] {
@@ -110,7 +110,7 @@
     // The user may have let go of the connection while it read.
     if (m_user == nullptr) return;
     if (m_reader.fault()) {
-      Lose(traffic::LossCause::kBadAnswer);
+      Lose(traffic::SendFailureCause::kBadAnswer);
       return;
     }
     if (m_ended) {
@@ -132,8 +132,8 @@
     m_user->OnBackendEnd();
     return;
   }
-  Lose(m_connected ? traffic::LossCause::kBroken
-                   : traffic::LossCause::kNotConnected);
+  Lose(m_connected ? traffic::SendFailureCause::kBroken
+                   : traffic::SendFailureCause::kNotConnected);
 }
 
 void BackendConnection::Lose(traffic::LossCause cause) {
@@ -172,7 +172,7 @@
   for (auto& [id, state] : m_servers) state.listed = false;
   for (const traffic::BackendServer& server : *servers) {
     State& state =
-        m_servers.try_emplace(server.id, m_thresholds->pace).first->second;
+        m_servers.try_emplace(server.id, m_thresholds->slowdown).first->second;
     state.server = server;
     state.listed = true;
   }
@@ -205,7 +205,7 @@
   for (BackendConnection* connection : idle) Destroy(connection);
 }
 
-void Backends::Count(const News& news) {
+void Backends::Count(const ServerReports& news) {
   for (const auto& [id, told] : news) {
     ServerNews& sum = m_heard[id];
     sum.requests += told.requests;
@@ -213,7 +213,7 @@
   }
 }
 
-void Backends::Uncount(const News& news) {
+void Backends::Uncount(const ServerReports& news) {
   constexpr double kRounding = 1e-3;  // what sums of fractions may leave
   for (const auto& [id, told] : news) {
     const auto found = m_heard.find(id);
@@ -301,8 +301,8 @@
 std::string Backends::WarmFor(const std::string& service,
                               const Service& servers, const Prompt& prompt,
                               const std::vector<std::string>& avoid) const {
-  if (prompt.line.empty()) return {};
-  const auto last = m_lines.find(prompt.line);
+  if (prompt.session.empty()) return {};
+  const auto last = m_lines.find(prompt.session);
   if (last != m_lines.end() &&
       FindUsable(last->second.server, service, avoid) != nullptr) {
     return last->second.server;
@@ -331,17 +331,17 @@
   const bool failing = now - state.failed_at < m_thresholds->failure_memory;
   auto       outcomes = state.outcomes.At(now);
   outcomes += told.outcomes;
-  candidate->own_load = state.load;
-  candidate->others_load = told.requests;
+  candidate->local_load = state.load;
+  candidate->peer_load = told.requests;
   candidate->recent_failures = failing ? state.failures : 0;
   candidate->failure_share = traffic::FailureShare(outcomes);
-  candidate->pace = state.pace.At(now);
+  candidate->slowdown = state.pace.At(now);
 }
 
 Backends::Choice Backends::AsChoice(const traffic::Candidate& candidate) {
   const auto slots = static_cast<double>(std::max(1, candidate.server->slots));
   return {*candidate.server, candidate.load() / slots, candidate.failure_share,
-          candidate.pace};
+          candidate.slowdown};
 }
 
 std::optional<Backends::Choice> Backends::Find(const std::string& id) const {
@@ -491,7 +491,7 @@
       }));
 }
 
-capacity::ServiceRoom Backends::RoomOf(
+capacity::ServiceRoom Backends::ComputeCapacity(
     const std::string& service, const traffic::EngineLimits& engine) const {
   capacity::ServiceRoom room;
   const auto            found = m_services.find(service);
@@ -499,7 +499,7 @@
   for (const auto* server : found->second.pool.all()) {
     const double pace = m_servers.at(server->id).pace.Lasting().factor;
     ++room.servers;
-    room.places += engine.slots / std::max(1.0, pace);
+    room.slots += engine.slots / std::max(1.0, pace);
     room.memory += engine.cache_tokens;
   }
   return room;
@@ -534,7 +534,7 @@
          std::abs(outcomes.failures - other.outcomes.failures) < kSame;
 }
 
-void Backends::SetPeerNews(const std::string& peer, const News& news) {
+void Backends::SetPeerNews(const std::string& peer, const ServerReports& news) {
   const Time now = m_loop->now();
   PeerNews&  known = m_peers[peer];
   Uncount(known.news);
@@ -542,30 +542,30 @@
   Count(news);
   for (const auto& [id, told] : news) {
     const auto found = m_servers.find(id);
-    if (found != m_servers.end()) found->second.pace.Hear(told.pace, now);
+    if (found != m_servers.end()) found->second.pace.MergePeer(told.slowdown, now);
   }
 }
 
-Backends::News Backends::OwnNews() const {
+Backends::ServerReports Backends::OwnNews() const {
   constexpr double kWorthTelling = 0.25;  // of a failure
-  News             news;
+  ServerReports             news;
   for (const auto& [id, state] : m_servers) {
     ServerNews told{state.load, state.outcomes.At(m_loop->now()),
-                    state.pace.Untold(), state.pace.HasNews()};
+                    state.pace.Unsent(), state.pace.NeedsImmediateReport()};
     if (told.outcomes.failures < kWorthTelling) told.outcomes = {};
     if (told.requests > 0 || told.outcomes.failures > 0 ||
-        told.pace.samples > 0) {
+        told.slowdown.samples > 0) {
       news[id] = told;
     }
   }
   return news;
 }
 
-void Backends::NewsTold(News* news) {
+void Backends::NewsTold(ServerReports* news) {
   for (auto& [id, told] : *news) {
     const auto found = m_servers.find(id);
-    if (found != m_servers.end()) found->second.pace.TakeUntold();
-    told.pace = {};
+    if (found != m_servers.end()) found->second.pace.TakeUnsent();
+    told.slowdown = {};
     told.pace_differs = false;
   }
   std::erase_if(*news, [](const auto& entry) {
--- a/src/yuccawick/gateway/backends.h
+++ b/src/yuccawick/gateway/backends.h
@@ -105,11 +105,11 @@
     traffic::BackendServer server;
     double                 load = 0;  // requests per slot, as far as known
     double                 failure_share = 0;  // of its latest answers
-    double                 pace = 1;           // in medians of its service
+    double                 slowdown = 1;           // in medians of its service
   };
   // What a server may have cached of a request.
   struct Prompt {
-    std::string  line;     // requests of one line share a prompt; empty: none
+    std::string  session;     // requests of one line share a prompt; empty: none
     std::string  program;  // lines of one program share its beginning
     std::int64_t tokens = 0;
     double       memory_part = 0;  // see traffic::Candidate
@@ -146,27 +146,27 @@
     std::string    server;
     std::string    service;
     bool           slow = false;
-    capacity::Pace lasting;
+    capacity::SlowdownEstimate lasting;
   };
   std::vector<PaceChange> TakePaceChanges();
   std::size_t             slow_servers() const;
-  capacity::ServiceRoom   RoomOf(const std::string&           service,
+  capacity::ServiceRoom   ComputeCapacity(const std::string&           service,
                                  const traffic::EngineLimits& engine) const;
 
   // What a node knows of a server and tells others.
   struct ServerNews {
     int                    requests = 0;  // under way there from the node
     traffic::OutcomeCounts outcomes;
-    capacity::Pace         pace;  // observed since it was told last
+    capacity::SlowdownEstimate         slowdown;  // observed since it was told last
     bool                   pace_differs = false;  // from what was told before
 
     bool operator==(const ServerNews& other) const;
   };
-  using News = std::map<std::string, ServerNews>;  // by server
-  void        SetPeerNews(const std::string& peer, const News& news);
-  News        OwnNews() const;
+  using ServerReports = std::map<std::string, ServerNews>;  // by server
+  void        SetPeerNews(const std::string& peer, const ServerReports& news);
+  ServerReports        OwnNews() const;
   // What OwnNews() returned was sent. Leaves of it what holds on.
-  void        NewsTold(News* news);
+  void        NewsTold(ServerReports* news);
   std::size_t connections() const { return m_connections.size(); }
   std::size_t servers() const { return m_servers.size(); }
 
@@ -188,7 +188,7 @@
     Time        used = 0;
   };
   struct PeerNews {
-    News news;
+    ServerReports news;
     Time heard = 0;
   };
   struct Service {
@@ -211,8 +211,8 @@
                         const std::vector<std::string>& avoid) const;
   static Choice AsChoice(const traffic::Candidate& candidate);
   // Keep the sum of what fresh news say of each server.
-  void          Count(const News& news);
-  void          Uncount(const News& news);
+  void          Count(const ServerReports& news);
+  void          Uncount(const ServerReports& news);
   void          DropOldNews();
   void          Destroy(BackendConnection* connection);
   void          DropIdle(State* state);
--- a/src/yuccawick/gateway/client_connection.cc
+++ b/src/yuccawick/gateway/client_connection.cc
@@ -41,8 +41,8 @@
                                    int fd)
     : m_parts(parts),
       m_host(host),
-      m_held_body(parts.memory, pressure::Held::kRequests),
-      m_held_output(parts.memory, pressure::Held::kToClients),
+      m_held_body(parts.memory, pressure::MemoryKind::kRequests),
+      m_held_output(parts.memory, pressure::MemoryKind::kToClients),
       m_stream(parts.loop, this, fd, false, &m_held_output),
       m_reader(net::HttpRole::kRequests, LimitsOf(host->Limits()), this) {
   WatchTime();
@@ -110,7 +110,7 @@
 }
 
 bool ClientConnection::Reserve(std::size_t body_bytes) {
-  if (!m_parts.memory->MayTake(body_bytes, m_held_body.bytes())) {
+  if (!m_parts.memory->CanAcceptBody(body_bytes, m_held_body.bytes())) {
     m_held_body.Set(0);
     m_body = {};
     return false;
@@ -195,10 +195,10 @@
   }
 }
 
-void ClientConnection::LetGo() {
+void ClientConnection::DropClient() {
   const auto exchange = m_exchange;
   if (exchange) {
-    exchange->ReaderStalled();
+    exchange->OnClientStalled();
     return;
   }
   m_stream.Reset();
@@ -207,7 +207,7 @@
 
 void ClientConnection::OnClosed(net::CloseCause /*cause*/) {
   const auto exchange = std::exchange(m_exchange, nullptr);
-  if (exchange) exchange->ClientLeft();
+  if (exchange) exchange->OnClientDisconnected();
   Drop();
 }
 
--- a/src/yuccawick/gateway/client_connection.h
+++ b/src/yuccawick/gateway/client_connection.h
@@ -38,11 +38,11 @@
   // Ends a connection that rests between two requests.
   void             CloseIfIdle();
   // What waits for the client, and since when it has taken nothing of it.
-  pressure::Reader reader() const {
+  pressure::ClientBuffer buffer() const {
     return {m_stream.pending(), m_stream.stalled()};
   }
   // Cuts off a client that does not take its answer.
-  void LetGo();
+  void DropClient();
 
   void OnBytes(std::string_view bytes) override;
   void OnDrained() override;
--- a/src/yuccawick/gateway/exchange.cc
+++ b/src/yuccawick/gateway/exchange.cc
@@ -46,7 +46,7 @@
       m_body(std::move(body)),
       m_phase(traffic::GetAttemptChart().Start()),
       m_began(parts.loop->now()),
-      m_held(parts.memory, pressure::Held::kRequests) {
+      m_held(parts.memory, pressure::MemoryKind::kRequests) {
   CountHeld();
 }
 
@@ -85,7 +85,7 @@
 
 std::string Exchange::LineKey() const {
   if (!m_route->prefix_affinity) return {};
-  return InScope(m_info.program + "/" + m_info.line);
+  return InScope(m_info.program + "/" + m_info.session);
 }
 
 // Sending --------------------------------------------------------------------
@@ -141,7 +141,7 @@
   CountHeld();
   m_connection = m_parts.backends->Acquire(server.id, fresh);
   if (m_connection == nullptr) {
-    Lost(LossCause::kNotConnected);
+    Lost(SendFailureCause::kNotConnected);
     return;
   }
   platform::Forwarding forwarding;
@@ -162,9 +162,9 @@
        {"server_zone", server.zone},
        {"load_per_slot_pct", static_cast<int>(choice.load * kPercent)},
        {"failures_pct", static_cast<int>(choice.failure_share * kPercent)},
-       {"pace_pct", static_cast<int>(choice.pace * kPercent)},
+       {"pace_pct", static_cast<int>(choice.slowdown * kPercent)},
        {"repeats", m_repeats},
-       {"tokens_counted_by", m_reservation.home},
+       {"tokens_counted_by", m_reservation.coordinator},
        {"after_event", forwarding.last_event},
        {"left_ms", forwarding.left}});
   // An earlier send may have run, and counts beside this one.
@@ -204,10 +204,10 @@
   const auto self = shared_from_this();
   m_parts.metrics->CountLoss(cause);
   m_tried.push_back(m_server_id);
-  if (cause == LossCause::kBroken || cause == LossCause::kBadAnswer) {
+  if (cause == SendFailureCause::kBroken || cause == SendFailureCause::kBadAnswer) {
     m_in_doubt = true;
   }
-  traffic::Loss loss;
+  traffic::SendFailure loss;
   loss.cause = cause;
   loss.servers_sent = static_cast<int>(m_sent_to.size());
   loss.repeats = m_repeats;
@@ -230,7 +230,7 @@
       SendAgain(step);
       break;
     case NextStep::kRefuse:
-      Refuse(cause == LossCause::kNotRun ? Refusal::kOverloaded
+      Refuse(cause == SendFailureCause::kNotRun ? Refusal::kOverloaded
                                          : Refusal::kNoServer);
       break;
     case NextStep::kFail:
@@ -285,7 +285,7 @@
   if (refusal == Refusal::kOverLimit) {
     mean = std::max(m_limit_return, limits.return_delay);
   }
-  if (refusal == Refusal::kNoRoom) mean = m_reservation.retry;
+  if (refusal == Refusal::kNoRoom) mean = m_reservation.retry_delay;
   if (NeedsLog(refusal)) {
     const auto away = OutageAge();
     if (away && *away >= limits.log_wait && m_due > 0) {
@@ -311,7 +311,7 @@
                       {"status", Status(refusal)},
                       {"phase", Name(m_phase)},
                       {"retry_after_ms", again},
-                      {"tokens_counted_by", m_reservation.home},
+                      {"tokens_counted_by", m_reservation.coordinator},
                       {"took_ms", m_parts.loop->now() - m_began}});
   const bool close =
       refusal == Refusal::kMalformed || m_client->ClosesAfterAnswer();
@@ -335,7 +335,7 @@
   client->AnswerBroken();
 }
 
-void Exchange::ClientLeft() {
+void Exchange::OnClientDisconnected() {
   const auto self = shared_from_this();
   m_parts.log->Write(LogEvent::kClientLeft,
                      {{"request", m_info.attempt},
@@ -352,9 +352,9 @@
   m_parts.loop->Cancel(&m_timer);
   m_parts.loop->Cancel(&m_patience_timer);
   if (m_phase != AttemptPhase::kDone) Fire(AttemptEvent::kFinish);
-  m_parts.gate->Leave(&m_gate_id);
+  m_parts.gate->Release(&m_gate_id);
   if (m_rate_token && m_rate_token->tokens > 0 && m_sent_to.empty()) {
-    m_parts.limiter->PutBack(m_workspace->name, *m_rate_token);
+    m_parts.limiter->Refund(m_workspace->name, *m_rate_token);
   }
   m_rate_token.reset();
   if (std::exchange(m_reserved, false)) {
--- a/src/yuccawick/gateway/exchange.h
+++ b/src/yuccawick/gateway/exchange.h
@@ -73,9 +73,9 @@
   void Start();
   // In place of Start(): refuses a request that is not to be served at all.
   void Reject(traffic::Refusal refusal);
-  void ClientLeft();
+  void OnClientDisconnected();
   // The node needs the memory of an answer that its client does not take.
-  void ReaderStalled() { CutOff("reader_stalled"); }
+  void OnClientStalled() { CutOff("reader_stalled"); }
   void ClientDrained();
 
   void OnBackendConnected() override;
--- a/src/yuccawick/gateway/exchange_answer.cc
+++ b/src/yuccawick/gateway/exchange_answer.cc
@@ -85,7 +85,7 @@
 
 void Exchange::PassEvents(std::string_view bytes) {
   if (!m_events.Add(bytes)) {
-    OnBackendLost(LossCause::kBadAnswer);
+    OnBackendLost(SendFailureCause::kBadAnswer);
     return;
   }
   if (!m_passed_head) BeginAnswer(-1);
@@ -143,11 +143,11 @@
   if (m_answer_info.not_run) {
     LeaveServer(true);
     m_parts.backends->NoteBadAnswer(m_server_id);
-    Lost(LossCause::kNotRun);
+    Lost(SendFailureCause::kNotRun);
     return;
   }
   if (!IsSound() || (m_is_stream && m_events.has_partial())) {
-    OnBackendLost(LossCause::kBadAnswer);
+    OnBackendLost(SendFailureCause::kBadAnswer);
     return;
   }
   LeaveServer(true);
@@ -209,7 +209,7 @@
   m_body.clear();
   m_output.clear();
   CountHeld();
-  m_parts.turns->Keep(turn, m_route->retention, m_due,
+  m_parts.turns->Persist(turn, m_route->retention, m_due,
                       [self = shared_from_this()](const LogPlace& kept) {
                         if (self->m_client == nullptr) return;
                         self->m_kept = kept;
--- a/src/yuccawick/gateway/exchange_prepare.cc
+++ b/src/yuccawick/gateway/exchange_prepare.cc
@@ -48,7 +48,7 @@
       m_routes->manifest()->workspaces.has_value() && !m_route->is_public;
   if (keyed && !m_parts.key_lease->Holds(m_parts.loop->ReadClock())) {
     m_awaits = Refusal::kKeyUnsure;
-    const bool cut_off = !OutageAge() && m_parts.turns->reader().AwayFor() > 0;
+    const bool cut_off = !OutageAge() && m_parts.turns->reader().UnavailableFor() > 0;
     if (cut_off || !WaitsOn()) {
       Refuse(m_awaits);
       return;
@@ -128,7 +128,7 @@
 
 std::optional<Duration> Exchange::OutageAge() const {
   if (m_parts.turns->MayKeep()) return std::nullopt;
-  return m_parts.turns->reader().AwayFor();
+  return m_parts.turns->reader().UnavailableFor();
 }
 
 Duration Exchange::LogPatience() const {
@@ -153,17 +153,17 @@
   m_awaits = Refusal::kLimitUnsure;
   const ProgramStep step{InScope(m_info.program), !m_info.previous_turn.empty(),
                          LogPatience()};
-  m_parts.limiter->Admit(
+  m_parts.limiter->Acquire(
       *m_workspace, step,
       [self = shared_from_this()](const Admission& admission) {
         if (self->m_client == nullptr) {
           if (admission.token.tokens > 0) {
-            self->m_parts.limiter->PutBack(self->m_workspace->name,
+            self->m_parts.limiter->Refund(self->m_workspace->name,
                                            admission.token);
           }
           return;
         }
-        self->m_limit_return = admission.retry;
+        self->m_limit_return = admission.retry_delay;
         switch (admission.outcome) {
           case AdmitOutcome::kAdmitted:
             self->m_rate_token = admission.token;
@@ -197,7 +197,7 @@
   if (m_parts.loop->now() == m_began) {
     m_parts.log->Write(LogEvent::kWaiting,
                        {{"request", m_info.attempt},
-                        {"log_away_ms", m_parts.turns->reader().AwayFor()}});
+                        {"log_away_ms", m_parts.turns->reader().UnavailableFor()}});
   }
   m_parts.loop->After(m_parts.thresholds->log_wait_pause,
                       [self = shared_from_this()] { self->AwaitLog(); });
@@ -258,7 +258,7 @@
     Prepared();
     return;
   }
-  TurnBudget turn{InScope(m_info.program), *m_info.budget, m_info.most_tokens};
+  TurnBudget turn{InScope(m_info.program), *m_info.budget, m_info.max_tokens};
   AskForRoom(&turn);
   m_awaits = Refusal::kBudgetUnsure;
   const Duration patience =
@@ -290,7 +290,7 @@
 void Exchange::AskForRoom(TurnBudget* turn) const {
   const auto* service = m_routes->manifest()->FindService(m_service);
   if (service == nullptr || !service->engine) return;
-  admission::TurnAsk& ask = turn->room;
+  admission::TurnAsk& ask = turn->admission_request;
   ask.program = turn->program;
   ask.service = m_service;
   ask.partition = ClaimPartitionOf(turn->program);
@@ -300,7 +300,7 @@
   ask.under_way = !m_info.previous_turn.empty();
   ask.prompt_tokens =
       std::max<std::int64_t>(0, m_info.prompt_tokens - m_info.shared_tokens);
-  ask.most_tokens = m_info.most_tokens;
+  ask.max_tokens = m_info.max_tokens;
   ask.left = ProgramLeft();
 }
 
@@ -319,12 +319,12 @@
       traffic::PlaceOf(InScope(m_info.program), Priority(), ProgramLeft());
   const auto self = shared_from_this();
   m_gate_id =
-      m_parts.gate->Enter(m_service, place, m_route->target_latency, [this] {
+      m_parts.gate->Enqueue(m_service, place, m_route->target_latency, [this] {
         m_parts.loop->Cancel(&m_patience_timer);
         if (Fire(AttemptEvent::kPrepared)) Dispatch();
       });
   // It may have ended while it was let through.
-  if (m_client == nullptr) m_parts.gate->Leave(&m_gate_id);
+  if (m_client == nullptr) m_parts.gate->Release(&m_gate_id);
 }
 
 }  // namespace yuccawick::gateway
--- a/src/yuccawick/gateway/follower.cc
+++ b/src/yuccawick/gateway/follower.cc
@@ -47,7 +47,7 @@
 }  // namespace
 
 TopicFollower::TopicFollower(net::EventLoop* loop, platform::Store* store,
-                             Log* log, Topic topic, std::string name, Pace pace,
+                             Log* log, Topic topic, std::string name, PollSettings pace,
                              Callbacks callbacks)
     : m_loop(loop),
       m_store(store),
--- a/src/yuccawick/gateway/follower.h
+++ b/src/yuccawick/gateway/follower.h
@@ -38,13 +38,13 @@
   };
   // `wait`: ms a read waits for the first record. `pause`: ms between two
   // readings that brought something.
-  struct Pace {
+  struct PollSettings {
     Duration wait = 0;
     Duration pause = 0;
   };
   // `name` says in logs what the topic holds.
   TopicFollower(net::EventLoop* loop, platform::Store* store, Log* log,
-                platform::Topic topic, std::string name, Pace pace,
+                platform::Topic topic, std::string name, PollSettings pace,
                 Callbacks callbacks);
   void Start();
 
@@ -58,7 +58,7 @@
   net::EventLoop*  m_loop;
   platform::Store* m_store;
   platform::Topic  m_topic;
-  Pace             m_pace;
+  PollSettings             m_pace;
   Callbacks        m_callbacks;
   Log*             m_log;
   std::string      m_name;
--- a/src/yuccawick/gateway/gateway.cc
+++ b/src/yuccawick/gateway/gateway.cc
@@ -38,7 +38,7 @@
 std::vector<RateDesk> MakeRateDesks(
     net::EventLoop* loop, const Thresholds* thresholds,
     platform::RecordLog* store, Log* log, const std::string& incarnation,
-    const workspaces::RateLedger::LimitOf& limit_of,
+    const workspaces::RateLedger::LimitLookup& limit_of,
     const workspaces::RateWindow&          window) {
   std::vector<RateDesk> desks;
   desks.reserve(kRatePartitions);  // desks hand out pointers to themselves
@@ -72,13 +72,13 @@
               }),
       m_memory(std::make_shared<pressure::MemoryBudget>(thresholds->memory,
                                                         settings.memory_bytes)),
-      m_held_turns(m_memory, pressure::Held::kTurns),
+      m_held_turns(m_memory, pressure::MemoryKind::kTurns),
       m_backends(loop, thresholds, settings.zone,
                  traffic::MakePlacement(traffic::PlacementKind::kSoonestEnd,
                                         thresholds->placement),
                  m_memory),
       m_turns(loop, thresholds, &m_store, log, metrics, incarnation),
-      m_begin_share(thresholds->share,
+      m_begin_share(thresholds->fairness,
                     [this](const std::string& workspace) {
                       return PriorityOf(workspace);
                     }),
@@ -98,8 +98,8 @@
       m_network(loop, thresholds, &m_members, log),
       m_limiter(
           loop, thresholds, m_members.self(), &m_network, &m_rate_desks,
-          [this](const std::string& key) { return m_peers.HomesFor(key); }),
-      m_gate(loop, thresholds->turn_limit),
+          [this](const std::string& key) { return m_peers.RankCoordinators(key); }),
+      m_gate(loop, thresholds->concurrency_limit),
       m_peers(loop, thresholds, &m_members, &m_network, &m_desks, &m_limiter,
               &m_turns, &m_backends, &m_room),
       m_readiness(loop, [this](std::string_view) { return AnswerReadiness(); }),
@@ -149,7 +149,7 @@
 }
 
 void Gateway::TellNews() {
-  m_peers.TellNews();
+  m_peers.SendReports();
   m_gate.Sweep();
   m_loop->After(m_thresholds->news_pause, [this] { TellNews(); });
 }
@@ -172,7 +172,7 @@
   if (m_routes == nullptr) return {};
   const auto* found = m_routes->manifest()->FindService(service);
   if (found == nullptr || !found->engine) return {};
-  return m_backends.RoomOf(service, *found->engine);
+  return m_backends.ComputeCapacity(service, *found->engine);
 }
 
 std::optional<workspaces::RateLimit> Gateway::LimitOf(
@@ -235,7 +235,7 @@
 void Gateway::WatchMemory() {
   if (!m_memory->bounded()) return;
   auto& history = m_turns.history();
-  if (const auto left = m_memory->TurnsToLeave(history.bytes())) {
+  if (const auto left = m_memory->TurnBytesTarget(history.bytes())) {
     const auto before = history.size();
     history.Shrink(*left);
     m_log->Write(LogEvent::kPressure,
@@ -245,39 +245,39 @@
   }
   m_held_turns.Set(history.bytes());
   if (m_memory->Update(m_loop->now())) {
-    const auto held = [this](pressure::Held kind) {
-      return m_memory->held(kind);
+    const auto held = [this](pressure::MemoryKind kind) {
+      return m_memory->used(kind);
     };
     m_log->Write(LogEvent::kPressure,
                  {{"level", Name(m_memory->level())},
                   {"held", m_memory->total()},
                   {"bound", m_memory->bound()},
-                  {"requests", held(pressure::Held::kRequests)},
-                  {"to_clients", held(pressure::Held::kToClients)},
-                  {"to_servers", held(pressure::Held::kToServers)},
-                  {"turns", held(pressure::Held::kTurns)},
+                  {"requests", held(pressure::MemoryKind::kRequests)},
+                  {"to_clients", held(pressure::MemoryKind::kToClients)},
+                  {"to_servers", held(pressure::MemoryKind::kToServers)},
+                  {"turns", held(pressure::MemoryKind::kTurns)},
                   {"connections", m_clients.size()}});
   }
-  if (m_memory->level() == pressure::Level::kFull) DropStalledReaders();
+  if (m_memory->level() == pressure::PressureLevel::kFull) DropStalledReaders();
   m_loop->After(kMemoryTick, [this] { WatchMemory(); });
 }
 
 void Gateway::DropStalledReaders() {
   std::vector<ClientConnection*> clients;
-  std::vector<pressure::Reader>  readers;
+  std::vector<pressure::ClientBuffer>  readers;
   for (const auto& [raw, owned] : m_clients) {
     clients.push_back(raw);
-    readers.push_back(raw->reader());
+    readers.push_back(raw->buffer());
   }
   while (m_memory->IsFull()) {
-    const auto drop = ReaderToDrop(readers, m_thresholds->memory.full_patience);
-    if (drop == pressure::kNobody) return;
+    const auto drop = ReaderToDrop(readers, m_thresholds->memory.full_stall_timeout);
+    if (drop == pressure::kNoClient) return;
     m_log->Write(LogEvent::kPressure, {{"reader", "let_go"},
                                        {"waiting", readers[drop].waiting},
                                        {"stalled_ms", readers[drop].stalled}});
     m_metrics->CountReaderLetGo();
     readers[drop] = {};
-    clients[drop]->LetGo();
+    clients[drop]->DropClient();
   }
 }
 
@@ -301,7 +301,7 @@
 void Gateway::WriteShares() {
   constexpr std::size_t kMost = 3;
   const auto percent = [](double part) { return std::lround(100.0 * part); };
-  for (const auto& user : m_begin_share.TopUsers(kMost)) {
+  for (const auto& user : m_begin_share.TopWorkspaces(kMost)) {
     if (user.margin <= 0) continue;
     m_log->Write(LogEvent::kShare, {{"workspace", user.workspace},
                                     {"part_percent", percent(user.part)},
@@ -329,7 +329,7 @@
   if (m_loop->now() - m_use_written_at < kLogUsePause) return;
   m_use_written_at = m_loop->now();
   for (RateDesk& desk : m_rate_desks) desk.WriteTurnedAway();
-  m_room.WriteUses();
+  m_room.WriteUsageLines();
   WriteShares();
   for (const Metrics::LogUse& use : m_metrics->TakeLogUse()) {
     m_log->Write(LogEvent::kLogUse, {{"topic", Name(use.topic)},
@@ -379,7 +379,7 @@
   if (served || m_loop->now() >= m_stop_due) {
     m_log->Write(LogEvent::kStopped, {{"connections_cut", m_clients.size()},
                                       {"turns_not_durable", m_turns.unkept()}});
-    for (TokenDesk& desk : m_desks) desk.GiveBackAll();
+    for (TokenDesk& desk : m_desks) desk.ReleaseAllUnused();
     m_store.Put(platform::Topic::kNodes, m_settings.node, std::nullopt,
                 m_thresholds->log_timeout,
                 [](const platform::StoreResult<platform::Appended>&) {});
--- a/src/yuccawick/gateway/gateway.h
+++ b/src/yuccawick/gateway/gateway.h
@@ -77,7 +77,7 @@
   // log does not answer it.
   bool OthersServeBetter() const;
   bool MemoryIsShort() const {
-    return m_memory->level() != pressure::Level::kCalm;
+    return m_memory->level() != pressure::PressureLevel::kCalm;
   }
   void WatchMemory();
   // Lets go of clients that do not take their answers, while memory is full.
--- a/src/yuccawick/gateway/limiter.cc
+++ b/src/yuccawick/gateway/limiter.cc
@@ -49,7 +49,7 @@
 
 Limiter::Limiter(net::EventLoop* loop, const Thresholds* thresholds,
                  const programs::NodeInfo& self, PeerNetwork* network,
-                 std::vector<RateDesk>* desks, HomesFor homes_for)
+                 std::vector<RateDesk>* desks, CoordinatorLookup homes_for)
     : m_loop(loop),
       m_thresholds(thresholds),
       m_self(self),
@@ -93,7 +93,7 @@
   return true;
 }
 
-void Limiter::Admit(const workspaces::Workspace& workspace,
+void Limiter::Acquire(const workspaces::Workspace& workspace,
                     const ProgramStep& step, Done done) {
   if (!workspace.limit) {
     done({AdmitOutcome::kAdmitted, 0, {}});
@@ -119,7 +119,7 @@
   Ask(workspace.name);
 }
 
-void Limiter::PutBack(const std::string&                  workspace,
+void Limiter::Refund(const std::string&                  workspace,
                       const workspaces::TokenPool::Batch& token) {
   m_locals[workspace].pool.Add(token);
 }
@@ -166,7 +166,7 @@
     // A program that may not begin now is told at once; one under way waits
     // while that is of use.
     const bool     useless =
-        now + std::max(answer.retry, kLeastPause) >= waiter.since + patience;
+        now + std::max(answer.retry_delay, kLeastPause) >= waiter.since + patience;
     const bool ends = useless || (!waiter.known && answer.scarce);
     (ends ? ended.emplace_back(std::move(waiter))
           : left.emplace_back(std::move(waiter)));
@@ -174,7 +174,7 @@
   local.waiting = std::move(left);
   for (const Waiter& waiter : ended) {
     waiter.done(
-        {outcome, waiter.known ? answer.retry : answer.begin_retry, {}});
+        {outcome, waiter.known ? answer.retry_delay : answer.begin_retry, {}});
   }
 }
 
@@ -195,7 +195,7 @@
   for (const auto& [program, tokens] : std::exchange(local->steps, {})) {
     ask.steps.push_back({program, tokens});
   }
-  for (const auto& ended : local->pool.TakeEnded(m_loop->ReadClock())) {
+  for (const auto& ended : local->pool.TakeExpired(m_loop->ReadClock())) {
     ask.unused.push_back({workspace, -ended.tokens, ended.origin});
   }
   if (now >= local->scarce_until) {
@@ -233,7 +233,7 @@
     }
   };
   if (homes[rank].name == m_self.name) {
-    DeskOf(ask.workspace).Ask(ask, answered);
+    DeskOf(ask.workspace).RequestTokens(ask, answered);
   } else {
     AskNode(homes[rank], ask, answered);
   }
@@ -241,7 +241,7 @@
 
 void Limiter::AskNode(const programs::NodeInfo& home, const RateAsk& ask,
                       const RateDesk::Done& done) {
-  m_network->Ask(
+  m_network->SendRequest(
       home,
       [&ask](PeerMessage::Builder message) {
         auto asked = message.initRateAsk();
@@ -274,7 +274,7 @@
           }
           answer.origin = told.getOrigin();
           answer.valid = told.getValidMs();
-          answer.retry = told.getRetryMs();
+          answer.retry_delay = told.getRetryMs();
           answer.begin_retry = told.getBeginRetryMs();
           answer.scarce = told.getScarce();
           answer.plenty = told.getPlenty();
@@ -308,14 +308,14 @@
   AskLater(ask.workspace, answer.unsure ? m_thresholds->reserve_pause
                           : answer.tokens > 0
                               ? 0
-                              : std::max<Duration>(answer.retry, kLeastPause));
+                              : std::max<Duration>(answer.retry_delay, kLeastPause));
 }
 
 void Limiter::AskLater(const std::string& workspace, Duration delay) {
   m_loop->After(delay, [this, workspace] { Ask(workspace); });
 }
 
-void Limiter::ServeAsk(PeerMessage::Reader       message,
+void Limiter::ServeRequest(PeerMessage::Reader       message,
                        const PeerNetwork::Reply& reply) {
   const auto asked = message.getRateAsk();
   RateAsk    ask;
@@ -329,7 +329,7 @@
     ask.unused.push_back(
         {ask.workspace, unused.getTokens(), unused.getOrigin()});
   }
-  DeskOf(ask.workspace).Ask(ask, [reply](const RateAnswer& answer) {
+  DeskOf(ask.workspace).RequestTokens(ask, [reply](const RateAnswer& answer) {
     reply([&answer](PeerMessage::Builder told) {
       auto rate = told.initRateAnswer();
       rate.setUnsure(answer.unsure);
@@ -338,7 +338,7 @@
                 [&](auto size) { return rate.initMayGoOn(size); });
       rate.setOrigin(answer.origin);
       rate.setValidMs(static_cast<std::uint32_t>(answer.valid));
-      rate.setRetryMs(static_cast<std::uint32_t>(answer.retry));
+      rate.setRetryMs(static_cast<std::uint32_t>(answer.retry_delay));
       rate.setBeginRetryMs(static_cast<std::uint32_t>(answer.begin_retry));
       rate.setScarce(answer.scarce);
       rate.setPlenty(answer.plenty);
--- a/src/yuccawick/gateway/limiter.h
+++ b/src/yuccawick/gateway/limiter.h
@@ -35,7 +35,7 @@
 
 struct Admission {
   AdmitOutcome                 outcome = AdmitOutcome::kUnsure;
-  Duration                     retry = 0;  // ms until there may be room
+  Duration                     retry_delay = 0;  // ms until there may be room
   workspaces::TokenPool::Batch token;      // none: no limit
 };
 
@@ -50,21 +50,21 @@
  public:
   using Done = std::function<void(const Admission&)>;
   // The nodes that may be home of a key, the first choice first.
-  using HomesFor =
+  using CoordinatorLookup =
       std::function<std::vector<programs::NodeInfo>(const std::string& key)>;
 
   Limiter(net::EventLoop* loop, const Thresholds* thresholds,
           const programs::NodeInfo& self, PeerNetwork* network,
-          std::vector<RateDesk>* desks, HomesFor homes_for);
+          std::vector<RateDesk>* desks, CoordinatorLookup homes_for);
 
-  void Admit(const workspaces::Workspace& workspace, const ProgramStep& step,
+  void Acquire(const workspaces::Workspace& workspace, const ProgramStep& step,
              Done done);
-  void PutBack(const std::string&                  workspace,
+  void Refund(const std::string&                  workspace,
                const workspaces::TokenPool::Batch& token);
   void Charge(const std::string& workspace);
 
   // A question of another node.
-  void ServeAsk(PeerMessage::Reader message, const PeerNetwork::Reply& reply);
+  void ServeRequest(PeerMessage::Reader message, const PeerNetwork::Reply& reply);
   // Opens the desks that this node is home of; call about twice a second.
   // `limits`: the manifest has any.
   void Sweep(bool limits);
@@ -112,7 +112,7 @@
   programs::NodeInfo                                m_self;
   PeerNetwork*                                      m_network;
   std::vector<RateDesk>*                            m_desks;  // by partition
-  HomesFor                                          m_homes_for;
+  CoordinatorLookup                                          m_homes_for;
   std::unordered_map<std::string, Local>            m_locals;  // by workspace
   // Programs under way, when they were last seen here.
   std::unordered_map<workspaces::ProgramHash, Time> m_programs;
--- a/src/yuccawick/gateway/log_health.cc
+++ b/src/yuccawick/gateway/log_health.cc
@@ -11,7 +11,7 @@
                {{"partition", m_name}, {"call", call}});
 }
 
-net::Duration LogHealth::AwayFor() const {
+net::Duration LogHealth::UnavailableFor() const {
   return m_away ? m_loop->now() - m_away_since : 0;
 }
 
--- a/src/yuccawick/gateway/log_health.h
+++ b/src/yuccawick/gateway/log_health.h
@@ -21,13 +21,13 @@
 
   // The outcome of one call; `call` says which, for the log line.
   void Note(bool answered, std::string_view call);
-  bool away() const { return m_away; }
+  bool unavailable() const { return m_away; }
   // No call has ended for so long, in ms.
   bool IdleFor(net::Duration time) const {
     return m_loop->now() - m_noted_at >= time;
   }
   // Since the first call that failed, in ms; 0: it answers.
-  net::Duration AwayFor() const;
+  net::Duration UnavailableFor() const;
 
  private:
   net::EventLoop* m_loop;
--- a/src/yuccawick/gateway/metrics.cc
+++ b/src/yuccawick/gateway/metrics.cc
@@ -111,7 +111,7 @@
                    .Help("Memory held for others, by kind")
                    .Register(*registry);
   for (std::size_t i = 0; i < m_held_bytes.size(); ++i) {
-    const std::string kind(Name(static_cast<pressure::Held>(i)));
+    const std::string kind(Name(static_cast<pressure::MemoryKind>(i)));
     m_held_bytes[i] = &held.Add({{"kind", kind}});
   }
   m_memory_bound = &prometheus::BuildGauge()
@@ -132,8 +132,8 @@
 
 void Metrics::SetMemory(const pressure::MemoryBudget& memory) {
   for (std::size_t i = 0; i < m_held_bytes.size(); ++i) {
-    const auto kind = static_cast<pressure::Held>(i);
-    m_held_bytes[i]->Set(static_cast<double>(memory.held(kind)));
+    const auto kind = static_cast<pressure::MemoryKind>(i);
+    m_held_bytes[i]->Set(static_cast<double>(memory.used(kind)));
   }
   m_memory_bound->Set(memory.bounded() ? static_cast<double>(memory.bound())
                                        : 0.0);
--- a/src/yuccawick/gateway/peer_network.cc
+++ b/src/yuccawick/gateway/peer_network.cc
@@ -163,7 +163,7 @@
 
 class PeerNetwork::Session final : public net::StreamOwner {
  public:
-  Session(PeerNetwork* network, SessionId id, int fd)
+  Session(PeerNetwork* network, ConnectionId id, int fd)
       : m_network(network),
         m_id(id),
         m_stream(network->m_loop, this, fd, false) {}
@@ -201,7 +201,7 @@
   }
 
   PeerNetwork* m_network;
-  SessionId    m_id;
+  ConnectionId    m_id;
   net::Stream  m_stream;
   FrameReader  m_frames;
   std::string  m_node;
@@ -227,7 +227,7 @@
 void PeerNetwork::OnReadable() {
   for (int fd = net::Accept(m_listener, kSilence); fd >= 0;
        fd = net::Accept(m_listener, kSilence)) {
-    const SessionId id = ++m_last_session;
+    const ConnectionId id = ++m_last_session;
     m_sessions.emplace(id, std::make_unique<Session>(this, id, fd));
   }
 }
@@ -255,7 +255,7 @@
   return raw;
 }
 
-std::uint64_t PeerNetwork::Ask(const programs::NodeInfo& node, const Fill& fill,
+std::uint64_t PeerNetwork::SendRequest(const programs::NodeInfo& node, const Fill& fill,
                                Duration timeout, Answered done) {
   const std::uint64_t number = ++m_last_number;
   Link*               link = LinkTo(node);
@@ -268,7 +268,7 @@
   return number;
 }
 
-void PeerNetwork::Tell(const programs::NodeInfo& node, const Fill& fill) {
+void PeerNetwork::SendOneWay(const programs::NodeInfo& node, const Fill& fill) {
   Link* link = LinkTo(node);
   if (link != nullptr) link->Send(Encode(fill, 0));
 }
@@ -294,7 +294,7 @@
   m_loop->Defer([dying] { dying->FailAll(); });
 }
 
-void PeerNetwork::DropSession(SessionId id) {
+void PeerNetwork::DropSession(ConnectionId id) {
   auto entry = m_sessions.extract(id);
   if (entry.empty()) return;
   const std::shared_ptr<Session> dying = std::move(entry.mapped());
--- a/src/yuccawick/gateway/peer_network.h
+++ b/src/yuccawick/gateway/peer_network.h
@@ -36,15 +36,15 @@
   using Answered = std::function<void(std::optional<PeerMessage::Reader>)>;
   using Reply = std::function<void(const Fill&)>;
   // A connection that a peer made, for as long as it lasts.
-  using SessionId = std::uint64_t;
+  using ConnectionId = std::uint64_t;
 
-  class Service {
+  class MessageHandler {
    public:
-    virtual ~Service() = default;
+    virtual ~MessageHandler() = default;
     // `reply` may be called later, once, or never.
-    virtual void OnMessage(SessionId session, const std::string& node,
+    virtual void OnMessage(ConnectionId session, const std::string& node,
                            PeerMessage::Reader message, Reply reply) = 0;
-    virtual void OnSessionEnd(SessionId session) = 0;
+    virtual void OnSessionEnd(ConnectionId session) = 0;
     // An answer came after its question had been given up.
     virtual void OnLateAnswer(const std::string&  node,
                               PeerMessage::Reader message,
@@ -54,13 +54,13 @@
   PeerNetwork(net::EventLoop* loop, const Thresholds* thresholds,
               programs::Membership* members, Log* log);
   ~PeerNetwork() override;
-  void SetService(Service* service) { m_service = service; }
+  void SetMessageHandler(MessageHandler* service) { m_service = service; }
   bool Listen(const net::Endpoint& at);
 
   // Returns the question's number.
-  std::uint64_t Ask(const programs::NodeInfo& node, const Fill& fill,
+  std::uint64_t SendRequest(const programs::NodeInfo& node, const Fill& fill,
                     Duration timeout, Answered done);
-  void          Tell(const programs::NodeInfo& node, const Fill& fill);
+  void          SendOneWay(const programs::NodeInfo& node, const Fill& fill);
 
   void OnReadable() override;
   void OnWritable() override {}
@@ -74,18 +74,18 @@
   // A node did not answer, or its connection broke.
   void  Suspect(const std::string& node);
   void  DropLink(const std::string& node, bool suspect);
-  void  DropSession(SessionId id);
+  void  DropSession(ConnectionId id);
 
   net::EventLoop*                                         m_loop;
   const Thresholds*                                       m_thresholds;
   programs::Membership*                                   m_members;
   Log*                                                    m_log;
-  Service*                                                m_service = nullptr;
+  MessageHandler*                                                m_service = nullptr;
   int                                                     m_listener = -1;
   std::uint64_t                                           m_last_number = 0;
-  SessionId                                               m_last_session = 0;
+  ConnectionId                                               m_last_session = 0;
   std::unordered_map<std::string, std::unique_ptr<Link>>  m_links;
-  std::unordered_map<SessionId, std::unique_ptr<Session>> m_sessions;
+  std::unordered_map<ConnectionId, std::unique_ptr<Session>> m_sessions;
 };
 
 }  // namespace yuccawick::gateway
--- a/src/yuccawick/gateway/peer_service.cc
+++ b/src/yuccawick/gateway/peer_service.cc
@@ -38,7 +38,7 @@
   reserve->setLeftMs(ask.left.value_or(0));
 }
 
-void FillRoomUse(const RoomDesk::Uses& uses, PeerMessage::Builder message) {
+void FillRoomUse(const RoomDesk::UsageByService& uses, PeerMessage::Builder message) {
   unsigned size = 0;
   for (const auto& [service, parts] : uses) {
     size += static_cast<unsigned>(parts.size());
@@ -50,7 +50,7 @@
       list[i].setService(service);
       list[i].setPartition(static_cast<std::uint8_t>(partition));
       list[i].setPrograms(static_cast<std::uint32_t>(use.programs));
-      list[i].setPlaces(static_cast<float>(use.places));
+      list[i].setPlaces(static_cast<float>(use.slots));
       list[i].setMemory(use.memory);
       ++i;
     }
@@ -67,7 +67,7 @@
   ask.priority = reserve.getPriority();
   ask.under_way = reserve.getContinues();
   ask.prompt_tokens = reserve.getPromptTokens();
-  ask.most_tokens = reserve.getMost();
+  ask.max_tokens = reserve.getMost();
   if (reserve.getHasLeft()) ask.left = reserve.getLeftMs();
   return ask;
 }
@@ -88,7 +88,7 @@
       m_turns(loop, thresholds, members, network, turns),
       m_backends(backends),
       m_room(room) {
-  network->SetService(this);
+  network->SetMessageHandler(this);
 }
 
 // Tokens ---------------------------------------------------------------------
@@ -103,8 +103,8 @@
         done({outcome,
               turn,
               {},
-              DeskOf(turn.program).ServerOf(turn.program),
-              m_room->RetryFor(turn.room)});
+              DeskOf(turn.program).LastServer(turn.program),
+              m_room->RetryDelay(turn.admission_request)});
       });
 }
 
@@ -127,8 +127,8 @@
 // Nodes that are cut from the log for seconds come last: with three of eight
 // cut, all homes that are asked for some partition may be among them, and its
 // programs would be refused as long as the cut lasts.
-std::vector<NodeInfo> PeerService::HomesFor(const std::string& key) const {
-  auto       homes = m_members->HomesOf(key);
+std::vector<NodeInfo> PeerService::RankCoordinators(const std::string& key) const {
+  auto       homes = m_members->RankCoordinators(key);
   // At the end of an outage of all, each hears of the others' return at another
   // time: 30 nodes took themselves for homes at once, and claims that others
   // made beside theirs had to be read by each.
@@ -143,7 +143,7 @@
 
 void PeerService::ReserveFrom(const TurnBudget& turn, std::size_t rank,
                               Time until, const ReserveDone& done) {
-  const auto homes = HomesFor(ClaimHomeKey(ClaimPartitionOf(turn.program)));
+  const auto homes = RankCoordinators(ClaimHomeKey(ClaimPartitionOf(turn.program)));
   if (rank >= std::min(homes.size(), kMaxHomes)) {
     ReserveUnsure(turn, until, done);
     return;
@@ -191,24 +191,24 @@
     m_given_up.emplace(*number, turn);
     done({ReserveOutcome::kUnsure, turn, name});
   };
-  *number = m_network->Ask(
+  *number = m_network->SendRequest(
       home,
       [&turn](PeerMessage::Builder message) {
         auto reserve = message.initReserve();
         reserve.setProgram(turn.program);
         reserve.setBudget(turn.budget);
-        reserve.setMost(turn.most);
-        SetAsk(turn.room, &reserve);
+        reserve.setMost(turn.max_tokens);
+        SetAsk(turn.admission_request, &reserve);
       },
       m_thresholds->reserve_timeout, answered);
 }
 
 void PeerService::EndTurn(const Reservation& reservation, programs::Tokens used,
                           const std::string& server) {
-  if (reservation.home.empty()) {
+  if (reservation.coordinator.empty()) {
     DeskOf(reservation.turn.program).EndTurn(reservation.turn, used, server);
   } else {
-    TellSettle(reservation.home, reservation.turn, used, server);
+    TellSettle(reservation.coordinator, reservation.turn, used, server);
   }
 }
 
@@ -216,10 +216,10 @@
                              programs::Tokens used, const std::string& server) {
   const NodeInfo* node = m_members->Find(home);
   if (node == nullptr) return;
-  m_network->Tell(*node, [&](PeerMessage::Builder message) {
+  m_network->SendOneWay(*node, [&](PeerMessage::Builder message) {
     auto settle = message.initSettle();
     settle.setProgram(turn.program);
-    settle.setMost(turn.most);
+    settle.setMost(turn.max_tokens);
     settle.setUsed(used);
     settle.setServer(server);
   });
@@ -240,7 +240,7 @@
   if (reserved) TellSettle(node, turn, 0, {});
 }
 
-void PeerService::ServeReserve(PeerNetwork::SessionId session,
+void PeerService::ServeReserve(PeerNetwork::ConnectionId session,
                                PeerMessage::Reader    message,
                                PeerNetwork::Reply     reply) {
   const auto       asked = message.getReserve();
@@ -266,10 +266,10 @@
 
 void PeerService::AnswerReserve(const TurnBudget& turn, ReserveOutcome outcome,
                                 PeerMessage::Builder answer) {
-  const std::string server = DeskOf(turn.program).ServerOf(turn.program);
+  const std::string server = DeskOf(turn.program).LastServer(turn.program);
   if (outcome == ReserveOutcome::kNoRoom) {
     answer.initRoomRefusal().setRetryMs(
-        static_cast<std::uint32_t>(m_room->RetryFor(turn.room)));
+        static_cast<std::uint32_t>(m_room->RetryDelay(turn.admission_request)));
   } else if (outcome == ReserveOutcome::kStart && !server.empty()) {
     answer.setStartedAt(server);
   } else {
@@ -277,7 +277,7 @@
   }
 }
 
-void PeerService::ServeSettle(PeerNetwork::SessionId session,
+void PeerService::ServeSettle(PeerNetwork::ConnectionId session,
                               PeerMessage::Reader    message) {
   const auto settle = message.getSettle();
   const auto held = m_reserved.find(session);
@@ -285,7 +285,7 @@
   const std::string program = settle.getProgram().cStr();
   const auto        turn = std::find_if(
              held->second.begin(), held->second.end(), [&](const TurnBudget& each) {
-        return each.program == program && each.most == settle.getMost();
+        return each.program == program && each.max_tokens == settle.getMost();
       });
   // Not there: it was counted at its most when an earlier session ended.
   if (turn == held->second.end()) return;
@@ -295,18 +295,18 @@
       .EndTurn(ended, settle.getUsed(), settle.getServer().cStr());
 }
 
-void PeerService::OnSessionEnd(PeerNetwork::SessionId session) {
+void PeerService::OnSessionEnd(PeerNetwork::ConnectionId session) {
   auto node = m_reserved.extract(session);
   if (node.empty()) return;
   // What these turns generate will not be heard of; their most is safe.
   for (const TurnBudget& turn : node.mapped())
-    DeskOf(turn.program).EndTurn(turn, turn.most);
+    DeskOf(turn.program).EndTurn(turn, turn.max_tokens);
 }
 
 // News -----------------------------------------------------------------------
 
-void PeerService::TellNews() {
-  if (m_keeper->reader().AwayFor() > 0) m_log_away_at = m_loop->now();
+void PeerService::SendReports() {
+  if (m_keeper->reader().UnavailableFor() > 0) m_log_away_at = m_loop->now();
   WatchIsolation();
   for (const NodeInfo& node : m_members->TakeDueProbes(m_loop->now())) {
     Probe(node);
@@ -333,7 +333,7 @@
 }
 
 Duration PeerService::LongestOutage() const {
-  Duration longest = m_keeper->reader().AwayFor();
+  Duration longest = m_keeper->reader().UnavailableFor();
   for (const TokenDesk& desk : *m_desks) {
     longest = std::max(longest, desk.LogAwayFor());
   }
@@ -342,7 +342,7 @@
 
 void PeerService::Probe(const NodeInfo& node) {
   // Any answer will do; the network trusts a node that it hears of.
-  m_network->Ask(
+  m_network->SendRequest(
       node,
       [](PeerMessage::Builder message) {
         message.initFindTurn().setPartition(kNoPartition);
@@ -352,13 +352,13 @@
 
 void PeerService::TellOutage() {
   // A node that has kept no turn lately only notices by the manifest.
-  const bool away = m_keeper->reader().AwayFor() > 0 || !m_log_reachable;
+  const bool away = m_keeper->reader().UnavailableFor() > 0 || !m_log_reachable;
   if (!away || m_loop->now() - m_outage_told_at < m_thresholds->outage_pause) {
     return;
   }
   m_outage_told_at = m_loop->now();
   for (const NodeInfo& node : m_members->Others()) {
-    m_network->Tell(node,
+    m_network->SendOneWay(node,
                     [](PeerMessage::Builder message) { message.setLogAway(); });
   }
 }
@@ -371,7 +371,7 @@
   m_told_at = m_loop->now();
   for (const NodeInfo& node : m_members->Others()) {
     if (node.zone != m_members->self().zone) continue;
-    m_network->Tell(node, [&](PeerMessage::Builder message) {
+    m_network->SendOneWay(node, [&](PeerMessage::Builder message) {
       auto     list = message.initLoads(static_cast<unsigned>(m_told.size()));
       unsigned i = 0;
       for (const auto& [server, told] : m_told) {
@@ -379,8 +379,8 @@
         list[i].setRequests(static_cast<std::uint16_t>(told.requests));
         list[i].setAnswers(static_cast<float>(told.outcomes.answers));
         list[i].setFailures(static_cast<float>(told.outcomes.failures));
-        list[i].setPace(static_cast<float>(told.pace.factor));
-        list[i].setPaceSamples(static_cast<float>(told.pace.samples));
+        list[i].setPace(static_cast<float>(told.slowdown.factor));
+        list[i].setPaceSamples(static_cast<float>(told.slowdown.samples));
         ++i;
       }
     });
@@ -390,7 +390,7 @@
 
 void PeerService::TakeLoads(const std::string&  node,
                             PeerMessage::Reader message) {
-  Backends::News news;
+  Backends::ServerReports news;
   for (const auto& load : message.getLoads()) {
     news[load.getServer().cStr()] = {load.getRequests(),
                                      {load.getAnswers(), load.getFailures()},
@@ -404,14 +404,14 @@
   m_homes_found_at = m_loop->now();
   m_other_homes.clear();
   for (int partition = 0; partition < kClaimPartitions; ++partition) {
-    const auto homes = HomesFor(ClaimHomeKey(partition));
+    const auto homes = RankCoordinators(ClaimHomeKey(partition));
     if (homes.empty() || homes.front().name == m_members->self().name) continue;
     m_other_homes.emplace(homes.front().name, homes.front());
   }
 }
 
 void PeerService::TellRoom() {
-  auto uses = m_room->TakeOwnUses();
+  auto uses = m_room->LocalUsageByService();
   if (uses.empty()) return;
   const bool due = m_loop->now() - m_room_told_at >= m_thresholds->news_anyway;
   if (uses == m_room_told && !due) return;
@@ -419,7 +419,7 @@
   m_room_told_at = m_loop->now();
   FindOtherHomes();
   for (const auto& [name, home] : m_other_homes) {
-    m_network->Tell(home, [this](PeerMessage::Builder message) {
+    m_network->SendOneWay(home, [this](PeerMessage::Builder message) {
       FillRoomUse(m_room_told, message);
     });
   }
@@ -427,12 +427,12 @@
 
 void PeerService::TakeRoom(const std::string&  node,
                            PeerMessage::Reader message) {
-  RoomDesk::Uses uses;
+  RoomDesk::UsageByService uses;
   for (const auto& use : message.getRoomUse()) {
     uses[use.getService().cStr()][use.getPartition()] = {
         static_cast<int>(use.getPrograms()), use.getPlaces(), use.getMemory()};
   }
-  m_room->TakeUses(node, uses);
+  m_room->SetPeerUsage(node, uses);
 }
 
 void PeerService::TellCharges() {
@@ -440,7 +440,7 @@
   if (charges.empty()) return;
   FindOtherHomes();
   for (const auto& [name, home] : m_other_homes) {
-    m_network->Tell(home, [&charges](PeerMessage::Builder message) {
+    m_network->SendOneWay(home, [&charges](PeerMessage::Builder message) {
       auto list =
           message.initWorkCharges(static_cast<unsigned>(charges.size()));
       unsigned i = 0;
@@ -463,7 +463,7 @@
   m_room->HearCharges(charges);
 }
 
-void PeerService::OnMessage(PeerNetwork::SessionId session,
+void PeerService::OnMessage(PeerNetwork::ConnectionId session,
                             const std::string&     node,
                             PeerMessage::Reader    message,
                             PeerNetwork::Reply     reply) {
@@ -475,7 +475,7 @@
       ServeSettle(session, message);
       break;
     case PeerMessage::KEEP_TURN:
-      m_turns.ServeKeep(message, reply);
+      m_turns.ServePersist(message, reply);
       break;
     case PeerMessage::FIND_TURN:
       m_turns.ServeFind(message, reply);
@@ -484,7 +484,7 @@
       m_turns.NoteLogAway(node);
       break;
     case PeerMessage::RATE_ASK:
-      m_limiter->ServeAsk(message, reply);
+      m_limiter->ServeRequest(message, reply);
       break;
     case PeerMessage::LOADS:
       TakeLoads(node, message);
--- a/src/yuccawick/gateway/peer_service.h
+++ b/src/yuccawick/gateway/peer_service.h
@@ -26,13 +26,13 @@
 struct Reservation {
   ReserveOutcome outcome = ReserveOutcome::kUnsure;
   TurnBudget     turn;
-  std::string    home;  // name of the node that counts; empty: this one
+  std::string    coordinator;  // name of the node that counts; empty: this one
   // That ran the program's last turn and may hold its prompt; empty: not known.
   std::string    server = {};
-  Duration       retry = 0;  // with kNoRoom: ms until there should be some
+  Duration       retry_delay = 0;  // with kNoRoom: ms until there should be some
 };
 
-class PeerService final : public PeerNetwork::Service {
+class PeerService final : public PeerNetwork::MessageHandler {
  public:
   PeerService(net::EventLoop* loop, const Thresholds* thresholds,
               programs::Membership* members, PeerNetwork* network,
@@ -47,11 +47,11 @@
   void EndTurn(const Reservation& reservation, programs::Tokens used,
                const std::string& server);
   // Who may be home of a key, the first choice first.
-  std::vector<programs::NodeInfo> HomesFor(const std::string& key) const;
+  std::vector<programs::NodeInfo> RankCoordinators(const std::string& key) const;
   // Tells the nodes of this zone what this node has under way, all nodes
   // whether the log is away for it, and homes what its programs take of model
   // servers. Call often.
-  void                            TellNews();
+  void                            SendReports();
   // How long the log has been away, in ms, for what is away longest: all turns,
   // or the claims of one partition; 0: nothing is.
   Duration                        LongestOutage() const;
@@ -64,10 +64,10 @@
   // Some other node that is not known to lack the log.
   bool OthersReachLog() const { return m_turns.AnyReachesLog(); }
 
-  void OnMessage(PeerNetwork::SessionId session, const std::string& node,
+  void OnMessage(PeerNetwork::ConnectionId session, const std::string& node,
                  PeerMessage::Reader message,
                  PeerNetwork::Reply  reply) override;
-  void OnSessionEnd(PeerNetwork::SessionId session) override;
+  void OnSessionEnd(PeerNetwork::ConnectionId session) override;
   void OnLateAnswer(const std::string& node, PeerMessage::Reader message,
                     std::uint64_t number) override;
 
@@ -89,11 +89,11 @@
   void TakeRoom(const std::string& node, PeerMessage::Reader message);
   void TellCharges();
   void TakeCharges(PeerMessage::Reader message);
-  void ServeReserve(PeerNetwork::SessionId session, PeerMessage::Reader message,
+  void ServeReserve(PeerNetwork::ConnectionId session, PeerMessage::Reader message,
                     PeerNetwork::Reply reply);
   void AnswerReserve(const TurnBudget& turn, ReserveOutcome outcome,
                      PeerMessage::Builder answer);
-  void ServeSettle(PeerNetwork::SessionId session, PeerMessage::Reader message);
+  void ServeSettle(PeerNetwork::ConnectionId session, PeerMessage::Reader message);
   TokenDesk& DeskOf(const std::string& program);
   void       TakeLoads(const std::string& node, PeerMessage::Reader message);
   void       TellSettle(const std::string& home, const TurnBudget& turn,
@@ -110,14 +110,14 @@
   Backends*               m_backends;
   RoomDesk*               m_room;
   // Turns reserved here for other nodes, by the session they came over.
-  std::unordered_map<PeerNetwork::SessionId, std::vector<TurnBudget>>
+  std::unordered_map<PeerNetwork::ConnectionId, std::vector<TurnBudget>>
                                             m_reserved;
   // Questions for a reservation that were given up, by number.
   std::map<std::uint64_t, TurnBudget>       m_given_up;
-  Backends::News                            m_told;
+  Backends::ServerReports                            m_told;
   Time                                      m_told_at = 0;
   Time                                      m_outage_told_at = 0;
-  RoomDesk::Uses                            m_room_told;
+  RoomDesk::UsageByService                            m_room_told;
   Time                                      m_room_told_at = 0;
   // Of the claims' partitions; ranking them takes all nodes.
   std::map<std::string, programs::NodeInfo> m_other_homes;  // by name
--- a/src/yuccawick/gateway/peer_turns.cc
+++ b/src/yuccawick/gateway/peer_turns.cc
@@ -83,7 +83,7 @@
     if (const auto told = std::exchange(*waiting, nullptr)) told(kept);
   };
   for (const NodeInfo& node : nodes) {
-    m_network->Ask(
+    m_network->SendRequest(
         node,
         [&](PeerMessage::Builder message) {
           auto keep = message.initKeepTurn();
@@ -110,7 +110,7 @@
   auto ended = std::make_shared<bool>(false);
   auto found = std::make_shared<Turns>();
   for (const NodeInfo& node : others) {
-    m_network->Ask(
+    m_network->SendRequest(
         node,
         [&](PeerMessage::Builder message) {
           auto find = message.initFindTurn();
@@ -137,7 +137,7 @@
 // read for seconds (8 at 30 Mbit/s, with 11 MB to read). All questions of the
 // zone would wait for it, though the second one knows the answers.
 std::vector<NodeInfo> PeerTurns::ReadersOf(int partition) const {
-  auto readers = m_members->HomesOf("turns " + std::to_string(partition));
+  auto readers = m_members->RankCoordinators("turns " + std::to_string(partition));
   std::erase_if(readers, [this](const NodeInfo& node) {
     return node.zone != m_members->self().zone;
   });
@@ -158,7 +158,7 @@
   if (rank >= readers.size()) return ReaderIs::kNobody;
   const NodeInfo& reader = readers[rank];
   if (reader.name == m_members->self().name) return ReaderIs::kSelf;
-  m_network->Ask(
+  m_network->SendRequest(
       reader,
       [&](PeerMessage::Builder message) {
         auto find = message.initFindTurn();
@@ -184,10 +184,10 @@
   return ReaderIs::kAnother;
 }
 
-void PeerTurns::ServeKeep(PeerMessage::Reader       message,
+void PeerTurns::ServePersist(PeerMessage::Reader       message,
                           const PeerNetwork::Reply& reply) {
   const auto keep = message.getKeepTurn();
-  m_turns->KeepFor(programs::Read(keep.getTurn()), keep.getRetentionMs(),
+  m_turns->PersistForPeer(programs::Read(keep.getTurn()), keep.getRetentionMs(),
                    [reply](std::optional<LogPlace> kept) {
                      reply([kept](PeerMessage::Builder answer) {
                        if (!kept) {
@@ -222,7 +222,7 @@
   m_loop->After(m_thresholds->reader_answer,
                 [answer] { answer(ReadState::kReading); });
   TurnReader& reader = m_turns->reader();
-  if (reader.KnowsPlaceOf(id)) {
+  if (reader.KnowsPositionOf(id)) {
     reader.Fetch(id,
                  [this, id, ended] { ended(m_turns->history().Holds(id)); });
   } else {
@@ -232,7 +232,7 @@
 
 void PeerTurns::AnswerFind(const std::string& id, ReadState state,
                            const PeerNetwork::Reply& reply) {
-  const auto line = m_turns->history().Line(id);
+  const auto line = m_turns->history().CollectChain(id);
   reply([&line, state](PeerMessage::Builder answer) {
     auto found = answer.initTurnFound();
     found.setComplete(state == ReadState::kComplete);
--- a/src/yuccawick/gateway/peer_turns.h
+++ b/src/yuccawick/gateway/peer_turns.h
@@ -39,7 +39,7 @@
   // Whether it said so lately.
   bool     LacksLog(const std::string& node) const;
 
-  void ServeKeep(PeerMessage::Reader message, const PeerNetwork::Reply& reply);
+  void ServePersist(PeerMessage::Reader message, const PeerNetwork::Reply& reply);
   void ServeFind(PeerMessage::Reader message, const PeerNetwork::Reply& reply);
 
  private:
--- a/src/yuccawick/gateway/rate_desk.cc
+++ b/src/yuccawick/gateway/rate_desk.cc
@@ -47,7 +47,7 @@
 RateDesk::RateDesk(net::EventLoop* loop, const Thresholds* thresholds,
                    platform::RecordLog* store, Log* log,
                    std::string incarnation, int partition,
-                   const workspaces::RateLedger::LimitOf& limit_of,
+                   const workspaces::RateLedger::LimitLookup& limit_of,
                    const workspaces::RateWindow&          window)
     : m_loop(loop),
       m_thresholds(thresholds),
@@ -62,10 +62,10 @@
 
 // Asking ---------------------------------------------------------------------
 
-void RateDesk::Ask(const RateAsk& ask, Done done) {
+void RateDesk::RequestTokens(const RateAsk& ask, Done done) {
   const std::uint64_t number = ++m_last_question;
   m_waiting.push_back(
-      {number, m_home.Enter(ask, m_loop->ReadClock()), std::move(done)});
+      {number, m_home.Submit(ask, m_loop->ReadClock()), std::move(done)});
   Serve();
   const auto waits = std::any_of(
       m_waiting.begin(), m_waiting.end(),
@@ -79,7 +79,7 @@
     Open();
     // A call that hangs is tried again until the log is back; who takes this
     // node's place may reach it now.
-    if (m_health.away()) AnswerUnsure();
+    if (m_health.unavailable()) AnswerUnsure();
     return;
   }
   struct Reply {
@@ -90,7 +90,7 @@
   std::vector<Waiting> left;
   for (Waiting& waiting : m_waiting) {
     if (const auto answer =
-            m_home.Answer(waiting.entered, m_loop->ReadClock())) {
+            m_home.TryRespond(waiting.entered, m_loop->ReadClock())) {
       replies.push_back({std::move(waiting.done), *answer});
     } else {
       left.push_back(std::move(waiting));
@@ -98,7 +98,7 @@
   }
   m_waiting = std::move(left);
   Claim();
-  if (m_health.away() && m_claiming) AnswerUnsure();
+  if (m_health.unavailable() && m_claiming) AnswerUnsure();
   // Last: whoever is answered may ask again at once.
   for (const Reply& reply : replies) reply.done(reply.answer);
 }
@@ -126,15 +126,15 @@
 void RateDesk::Sweep() {
   m_home.Sweep(m_loop->now());
   if (m_state == State::kOpen && !m_claiming) {
-    SendClaim(m_home.NextReturns(m_loop->now()));
+    SendClaim(m_home.NextReleases(m_loop->now()));
   }
 }
 
 void RateDesk::WriteTurnedAway() {
-  for (const auto& use : m_home.TakeTurnedAway(m_loop->now())) {
+  for (const auto& use : m_home.TakeRefusalReports(m_loop->now())) {
     m_log->Write(LogEvent::kLimit,
                  {{"workspace", use.workspace},
-                  {"turned_away", use.turned_away},
+                  {"turned_away", use.refused},
                   {"asked_per_s", static_cast<int>(use.asked_per_second)},
                   {"allowance", static_cast<int>(use.allowance)},
                   {"left", static_cast<int>(use.left)},
@@ -202,7 +202,7 @@
       [this](const platform::LogRecord& raw) {
         auto other = programs::DecodeRate(raw.value);
         if (!other) return;
-        m_home.ledger().Take({raw.offset, std::move(*other)}, m_loop->now());
+        m_home.ledger().Apply({raw.offset, std::move(*other)}, m_loop->now());
       },
       [this, claimed] { TakeClaimed(claimed); });
 }
@@ -211,8 +211,8 @@
   m_next = claimed.offset + 1;
   m_claiming = false;
   const workspaces::LoggedRate claim{claimed.offset, claimed.record};
-  m_home.ledger().Take(claim, m_loop->now());
-  m_home.Granted(claim, claimed.sent, m_loop->now());
+  m_home.ledger().Apply(claim, m_loop->now());
+  m_home.OnGranted(claim, claimed.sent, m_loop->now());
   Serve();
 }
 
--- a/src/yuccawick/gateway/rate_desk.h
+++ b/src/yuccawick/gateway/rate_desk.h
@@ -35,24 +35,24 @@
 
   RateDesk(net::EventLoop* loop, const Thresholds* thresholds,
            platform::RecordLog* store, Log* log, std::string incarnation,
-           int partition, const workspaces::RateLedger::LimitOf& limit_of,
+           int partition, const workspaces::RateLedger::LimitLookup& limit_of,
            const workspaces::RateWindow& window);
 
   // `done` is called once, within `rate_answer` ms.
-  void Ask(const workspaces::RateAsk& ask, Done done);
+  void RequestTokens(const workspaces::RateAsk& ask, Done done);
   // Makes ready for questions, so that the first does not wait.
   void Open();
   // Forgets what is old, and gives back what was not used.
   void Sweep();
   void WriteTurnedAway();
 
-  workspaces::RateHome& home() { return m_home; }
+  workspaces::RateHome& allocator() { return m_home; }
 
  private:
   enum class State : std::uint8_t { kClosed, kOpening, kOpen };
   struct Waiting {
     std::uint64_t                 number = 0;
-    workspaces::RateHome::Entered entered;
+    workspaces::RateHome::SubmittedRequest entered;
     Done                          done;
   };
   // A claim in the log, behind others that are still to be read.
--- a/src/yuccawick/gateway/room_desk.h
+++ b/src/yuccawick/gateway/room_desk.h
@@ -22,31 +22,31 @@
 class RoomDesk {
  public:
   // What a service's model servers hold together now.
-  using RoomOf =
+  using CapacityLookup =
       std::function<capacity::ServiceRoom(const std::string& service)>;
-  using Uses = std::map<std::string, admission::PartitionUses>;  // by service
+  using UsageByService = std::map<std::string, admission::PartitionUses>;  // by service
 
   RoomDesk(net::EventLoop* loop, const admission::AdmissionSettings* settings,
            fairness::BeginShare* share, Log* log, Metrics* metrics,
-           RoomOf room_of);
+           CapacityLookup room_of);
 
   // Whether the turn may run; always if it wants no room.
-  bool     MayRun(const admission::TurnAsk& ask);
+  bool     TryAdmit(const admission::TurnAsk& ask);
   // `used`: tokens that the turn generated.
-  void     TurnEnded(const admission::TurnAsk& ask, std::int64_t used);
+  void     OnTurnEnded(const admission::TurnAsk& ask, std::int64_t used);
   // It was let in and did not run.
-  void     Withdraw(const admission::TurnAsk& ask);
-  Duration RetryFor(const admission::TurnAsk& ask) const;
+  void     CancelAdmission(const admission::TurnAsk& ask);
+  Duration RetryDelay(const admission::TurnAsk& ask) const;
 
   // Of the programs counted here, as of now.
-  Uses TakeOwnUses();
-  void TakeUses(const std::string& home, const Uses& uses);
+  UsageByService LocalUsageByService();
+  void SetPeerUsage(const std::string& home, const UsageByService& uses);
   // What turns of workspaces cost here since the last call; and at another
   // home.
   std::vector<fairness::WorkCharge> TakeCharges();
   void HearCharges(const std::vector<fairness::WorkCharge>& charges);
   // One line for each service that programs of this home are under way at.
-  void WriteUses();
+  void WriteUsageLines();
 
  private:
   admission::ProgramRoom& RoomFor(const std::string& service);
@@ -56,7 +56,7 @@
   fairness::BeginShare*                         m_share;
   Log*                                          m_log;
   Metrics*                                      m_metrics;
-  RoomOf                                        m_room_of;
+  CapacityLookup                                        m_room_of;
   Time                                          m_started;
   std::map<std::string, admission::ProgramRoom> m_rooms;  // by service
 };
--- a/src/yuccawick/gateway/thresholds.cc
+++ b/src/yuccawick/gateway/thresholds.cc
@@ -16,8 +16,8 @@
     Duration admission::AdmissionSettings::*,
     double   fairness::FairBeginSettings::*,
     Duration fairness::FairBeginSettings::*, double capacity::PaceSettings::*,
-    Duration capacity::PaceSettings::*, double pressure::BudgetSettings::*,
-    Duration pressure::BudgetSettings::*>;
+    Duration capacity::PaceSettings::*, double pressure::MemoryBudgetSettings::*,
+    Duration pressure::MemoryBudgetSettings::*>;
 
 struct Entry {
   std::string_view name;
@@ -33,7 +33,7 @@
 using A = admission::AdmissionSettings;
 using F = fairness::FairBeginSettings;
 using P = capacity::PaceSettings;
-using M = pressure::BudgetSettings;
+using M = pressure::MemoryBudgetSettings;
 
 // Bounds keep a slip of the keyboard from stopping a node; within them every
 // value serves, well or badly.
@@ -52,32 +52,32 @@
     Entry{"cold_memory_weight", &W::cold_memory, 0, 100},
     Entry{"cold_most_weight", &W::cold_most, 0, 100},
     Entry{"failure_weight", &W::failure, 0, 100},
-    Entry{"pace_weight", &W::pace, 0, 10},
-    Entry{"pace_tolerance", &W::pace_tolerance, 1, 100},
+    Entry{"pace_weight", &W::slowdown_exponent, 0, 10},
+    Entry{"pace_tolerance", &W::slowdown_tolerance, 1, 100},
     Entry{"sampling_share", &S::share, 0, 1},
     Entry{"sampling_few", &S::few, 0, 100'000},
     Entry{"sampling_most", &S::most, 1, 100'000},
-    Entry{"pace_memory", &P::memory, 2, 100'000},
-    Entry{"pace_spell_half_life", &P::spell_half_life, 1, 60'000},
+    Entry{"pace_memory", &P::max_samples, 2, 100'000},
+    Entry{"pace_spell_half_life", &P::transient_half_life, 1, 60'000},
     Entry{"pace_slow", &P::slow, 1, 1000},
     Entry{"pace_fast_again", &P::fast_again, 1, 1000},
     Entry{"turn_engage", &L::engage, 0, 1000},
-    Entry{"turn_hold", &L::hold, 0.01, 1000},
+    Entry{"turn_hold", &L::target, 0.01, 1000},
     Entry{"turn_pause", &L::pause, 1, 10'000},
     Entry{"turn_least", &L::least, 1, 10'000},
-    Entry{"room_places", &A::places, 0, 1000},
+    Entry{"room_places", &A::slot_overcommit, 0, 1000},
     Entry{"room_memory", &A::memory, 0.01, 1000},
     Entry{"room_idle", &A::idle, 0, 1},
     Entry{"room_late", &A::late, 0.01, 1},
     Entry{"room_settling", &A::settling, 0, 60'000},
-    Entry{"room_silence", &A::silence, 1, 60'000},
-    Entry{"room_silence_margin", &A::silence_margin, 1, 100},
-    Entry{"room_return_least", &A::return_least, 1, 60'000},
-    Entry{"room_return_most", &A::return_most, 1, 60'000},
-    Entry{"room_use_memory", &A::use_memory, 10, 60'000},
-    Entry{"share_memory", &F::memory, 10, 3'600'000},
+    Entry{"room_silence", &A::default_think_time, 1, 60'000},
+    Entry{"room_silence_margin", &A::think_time_factor, 1, 100},
+    Entry{"room_return_least", &A::min_retry_delay, 1, 60'000},
+    Entry{"room_return_most", &A::max_retry_delay, 1, 60'000},
+    Entry{"room_use_memory", &A::usage_report_ttl, 10, 60'000},
+    Entry{"share_memory", &F::usage_half_life, 10, 3'600'000},
     Entry{"share_step", &F::step, 0, 1},
-    Entry{"share_most", &F::most, 0, 1},
+    Entry{"share_most", &F::max_usage_margin, 0, 1},
     Entry{"share_credit", &F::credit_turns, 0, 1'000'000},
     Entry{"share_urgency", &F::urgency, 0, 1},
     Entry{"share_late", &F::late, 0, 1},
@@ -97,7 +97,7 @@
     Entry{"memory_calm", &M::calm, 0, 1},
     Entry{"memory_turns", &M::turns, 0, 1},
     Entry{"memory_hold", &M::hold, 0, 600'000},
-    Entry{"memory_full_patience", &M::full_patience, 0, 600'000},
+    Entry{"memory_full_patience", &M::full_stall_timeout, 0, 600'000},
     Entry{"log_timeout", &T::log_timeout, 10, 60'000},
     Entry{"log_patience", &T::log_patience, 0, 10'000},
     Entry{"append_first_timeout", &T::append_first_timeout, 5, 60'000},
@@ -191,25 +191,25 @@
   } else if (const auto* number = std::get_if<double T::*>(&field)) {
     use(thresholds.**number);
   } else if (const auto* share_of = std::get_if<double L::*>(&field)) {
-    use(thresholds.turn_limit.**share_of);
+    use(thresholds.concurrency_limit.**share_of);
   } else if (const auto* mark = std::get_if<double M::*>(&field)) {
     use(thresholds.memory.**mark);
   } else if (const auto* hold = std::get_if<Duration M::*>(&field)) {
     use(thresholds.memory.**hold);
   } else if (const auto* pause = std::get_if<Duration L::*>(&field)) {
-    use(thresholds.turn_limit.**pause);
+    use(thresholds.concurrency_limit.**pause);
   } else if (const auto* room = std::get_if<double A::*>(&field)) {
     use(thresholds.admission.**room);
   } else if (const auto* room_time = std::get_if<Duration A::*>(&field)) {
     use(thresholds.admission.**room_time);
   } else if (const auto* margin = std::get_if<double F::*>(&field)) {
-    use(thresholds.share.**margin);
+    use(thresholds.fairness.**margin);
   } else if (const auto* memory = std::get_if<Duration F::*>(&field)) {
-    use(thresholds.share.**memory);
+    use(thresholds.fairness.**memory);
   } else if (const auto* pace = std::get_if<double P::*>(&field)) {
-    use(thresholds.pace.**pace);
+    use(thresholds.slowdown.**pace);
   } else if (const auto* spell = std::get_if<Duration P::*>(&field)) {
-    use(thresholds.pace.**spell);
+    use(thresholds.slowdown.**spell);
   } else if (const auto* share = std::get_if<double S::*>(&field)) {
     use(thresholds.sampling.**share);
   } else if (const auto* few = std::get_if<std::int64_t S::*>(&field)) {
--- a/src/yuccawick/gateway/thresholds.h
+++ b/src/yuccawick/gateway/thresholds.h
@@ -50,13 +50,13 @@
   traffic::Sampling            sampling;
   // How fast the picture of a server's speed follows what is observed, and
   // from which lasting pace on it is called slow.
-  capacity::PaceSettings       pace;
+  capacity::PaceSettings       slowdown;
   // How slow first events of model servers show that turns wait there.
-  traffic::TurnLimitSettings   turn_limit;
+  traffic::TurnLimitSettings   concurrency_limit;
   // Which programs may begin while model servers are full.
   admission::AdmissionSettings admission;
   // What programs leave free to others when they begin.
-  fairness::FairBeginSettings  share;
+  fairness::FairBeginSettings  fairness;
 
   // Requests -----------------------------------------------------------------
   // Given up this long before the client stops listening, so that the answer
@@ -77,7 +77,7 @@
   // How long a client may take nothing of a whole answer that waits for it;
   // before the end its route's time bounds it.
   Duration                 reader_patience = 5000;
-  pressure::BudgetSettings memory;
+  pressure::MemoryBudgetSettings memory;
 
   // The platform's log -------------------------------------------------------
   Duration log_timeout = 600;  // a call takes 6, in a slow spell 250
--- a/src/yuccawick/gateway/token_desk.cc
+++ b/src/yuccawick/gateway/token_desk.cc
@@ -57,7 +57,7 @@
 void TokenDesk::Reserve(const TurnBudget& turn, Done done) {
   const auto [account, added] = m_accounts.try_emplace(
       turn.program, Account{programs::TokenAccount(turn.budget), 0, {}});
-  account->second.most = turn.most;
+  account->second.most = turn.max_tokens;
   const std::uint64_t number = ++m_last_request;
   account->second.waiting.push_back({number, turn, std::move(done)});
   m_loop->After(
@@ -102,10 +102,10 @@
   // Before the claims are read, no program can be told from a new one.
   if (request->let_in || !m_caught_up) return true;
   if (m_room != nullptr) {
-    admission::TurnAsk ask = request->turn.room;
+    admission::TurnAsk ask = request->turn.admission_request;
     ask.under_way = ask.under_way || account->begun ||
                     m_ledger.Granted(request->turn.program) > 0;
-    if (!m_room->MayRun(ask)) return false;
+    if (!m_room->TryAdmit(ask)) return false;
   }
   request->let_in = true;
   account->begun = true;
@@ -114,13 +114,13 @@
 
 void TokenDesk::Withdraw(const Waiting& request) {
   if (m_room != nullptr && request.let_in) {
-    m_room->Withdraw(request.turn.room);
+    m_room->CancelAdmission(request.turn.admission_request);
   }
 }
 
 std::optional<ReserveOutcome> TokenDesk::Decide(Account*       account,
                                                 const Waiting& request) const {
-  const programs::Tokens most = request.turn.most;
+  const programs::Tokens most = request.turn.max_tokens;
   if (account->tokens.Reserve(most) == TokenAnswer::kStart) {
     return ReserveOutcome::kStart;
   }
@@ -133,7 +133,7 @@
   // may reach it now. Were the asker held, each turn of the partition would
   // wait home_answer for nothing, for as long as this node is cut from the log.
   const bool hangs = m_appender.busy() || !m_caught_up;
-  if (m_health.away() && hangs) return ReserveOutcome::kUnsure;
+  if (m_health.unavailable() && hangs) return ReserveOutcome::kUnsure;
   return std::nullopt;
 }
 
@@ -148,7 +148,7 @@
       [number](const auto& each) { return each.number == number; });
   if (request == waiting.end()) return;
   const Done done = std::move(request->done);
-  const bool undecided = !request->denied && m_health.away();
+  const bool undecided = !request->denied && m_health.unavailable();
   Withdraw(*request);
   waiting.erase(request);
   // What was kept for it may be given back now.
@@ -156,17 +156,17 @@
   done(undecided ? ReserveOutcome::kUnsure : ReserveOutcome::kHold);
 }
 
-std::string TokenDesk::ServerOf(const std::string& program) const {
+std::string TokenDesk::LastServer(const std::string& program) const {
   const auto found = m_accounts.find(program);
   return found == m_accounts.end() ? std::string() : found->second.server;
 }
 
 void TokenDesk::EndTurn(const TurnBudget& turn, programs::Tokens used,
                         const std::string& server) {
-  if (m_room != nullptr) m_room->TurnEnded(turn.room, used);
+  if (m_room != nullptr) m_room->OnTurnEnded(turn.admission_request, used);
   const auto found = m_accounts.find(turn.program);
   if (found == m_accounts.end()) return;
-  found->second.tokens.EndTurn(turn.most, used);
+  found->second.tokens.EndTurn(turn.max_tokens, used);
   if (!server.empty()) found->second.server = server;
   // They lack less now; the log may have as much.
   for (Waiting& request : found->second.waiting) request.denied = false;
@@ -183,21 +183,21 @@
     if (!account->waiting.empty()) CatchUp();
     return;
   }
-  programs::Tokens  wish = Ahead(*account) - account->tokens.Spare();
+  programs::Tokens  wish = Ahead(*account) - account->tokens.Available();
   const TurnBudget* first = nullptr;
   for (const Waiting& request : account->waiting) {
     if (request.denied) continue;
     if (first == nullptr) first = &request.turn;
-    wish += request.turn.most;
+    wish += request.turn.max_tokens;
   }
   if (first != nullptr) {
-    SendClaim(program, account, first->most, wish);
+    SendClaim(program, account, first->max_tokens, wish);
   } else if (account->waiting.empty() &&
-             account->tokens.Spare() <
+             account->tokens.Available() <
                  std::min(account->most, Ahead(*account)) &&
              !m_appender.busy()) {
     SendClaim(program, account, account->most, wish);
-  } else if (account->waiting.empty() && account->tokens.Spare() > 0) {
+  } else if (account->waiting.empty() && account->tokens.Available() > 0) {
     const Duration keep = Ahead(*account) > 0 ? m_thresholds->ahead_memory
                                               : m_thresholds->give_back_delay;
     m_spare[program] = m_loop->now() + keep;
@@ -270,7 +270,7 @@
   const auto& [program, need] = claim.mapped();
   Account& account = m_accounts.at(program);
   account.claiming = false;
-  account.tokens.Granted(granted);
+  account.tokens.OnGranted(granted);
   m_log->Write(LogEvent::kClaim, {{"program", program},
                                   {"number", static_cast<std::int64_t>(number)},
                                   {"need", need},
@@ -279,7 +279,7 @@
     account.spent = true;
     // So would be any that needs as much.
     for (Waiting& request : account.waiting) {
-      const auto lacks = request.turn.most - account.tokens.Spare();
+      const auto lacks = request.turn.max_tokens - account.tokens.Available();
       request.denied = request.denied || lacks >= need;
     }
   }
@@ -427,7 +427,7 @@
 
 void TokenDesk::GiveBack(const std::string& program, Account* account) {
   if (account->claiming || !account->waiting.empty()) return;
-  const auto spare = account->tokens.GiveBack();
+  const auto spare = account->tokens.ReleaseUnused();
   if (spare <= 0) return;
   programs::TokenClaim back;
   back.number = ++m_last_number;
@@ -437,7 +437,7 @@
   SendRecord(std::move(back));
 }
 
-void TokenDesk::GiveBackAll() {
+void TokenDesk::ReleaseAllUnused() {
   for (auto& [program, account] : m_accounts) GiveBack(program, &account);
 }
 
--- a/src/yuccawick/gateway/token_desk.h
+++ b/src/yuccawick/gateway/token_desk.h
@@ -56,8 +56,8 @@
 struct TurnBudget {
   std::string        program;
   programs::Tokens   budget = 0;  // of the program
-  programs::Tokens   most = 0;    // that the turn may generate
-  admission::TurnAsk room = {};   // that it wants at model servers
+  programs::Tokens   max_tokens = 0;    // that the turn may generate
+  admission::TurnAsk admission_request = {};   // that it wants at model servers
 };
 
 class TokenDesk {
@@ -77,13 +77,13 @@
   void        EndTurn(const TurnBudget& turn, programs::Tokens used,
                       const std::string& server = {});
   // The server that ran the program's last turn; empty: not known.
-  std::string ServerOf(const std::string& program) const;
+  std::string LastServer(const std::string& program) const;
   // The node stops: what it was granted and does not need goes back.
-  void        GiveBackAll();
+  void        ReleaseAllUnused();
   // Forgets programs that were idle for long.
   void        Sweep();
 
-  Duration LogAwayFor() const { return m_health.AwayFor(); }
+  Duration LogAwayFor() const { return m_health.UnavailableFor(); }
   int      partition() const { return m_partition; }
 
  private:
--- a/src/yuccawick/gateway/turn_gate.cc
+++ b/src/yuccawick/gateway/turn_gate.cc
@@ -8,7 +8,7 @@
   return &entry.first->second;
 }
 
-TurnGate::Id TurnGate::Enter(const std::string& service, double place,
+TurnGate::Id TurnGate::Enqueue(const std::string& service, double place,
                              Duration objective, Go go) {
   const Id id = ++m_last;
   Service* of = ServiceOf(service);
@@ -37,7 +37,7 @@
                                        found->second.objective, m_loop->now());
 }
 
-void TurnGate::Leave(Id* id) {
+void TurnGate::Release(Id* id) {
   const auto found = m_turns.find(std::exchange(*id, 0));
   if (found == m_turns.end()) return;
   const Turn turn = found->second;
--- a/src/yuccawick/gateway/turn_gate.h
+++ b/src/yuccawick/gateway/turn_gate.h
@@ -29,9 +29,9 @@
 
   // `service`: whose servers the turn is for. `objective`: within what time its
   // first event is to come, in ms; 0: not said.
-  Id Enter(const std::string& service, double place, Duration objective, Go go);
+  Id Enqueue(const std::string& service, double place, Duration objective, Go go);
   void FirstEvent(Id id);
-  void Leave(Id* id);  // sets it to 0
+  void Release(Id* id);  // sets it to 0
   // Lets those go that may; call often, since limits grow with time.
   void Sweep();
 
--- a/src/yuccawick/gateway/turn_keeper.cc
+++ b/src/yuccawick/gateway/turn_keeper.cc
@@ -55,7 +55,7 @@
   } else if (m_history.Holds(missing)) {
     // Turns that name each other, because a client used an id twice.
     question.done(FindOutcome::kUnsure);
-  } else if (m_reader.KnowsPlaceOf(missing)) {
+  } else if (m_reader.KnowsPositionOf(missing)) {
     m_reader.Fetch(missing, [this, question, missing] {
       if (m_history.Holds(missing)) {
         Search(question);
@@ -186,13 +186,13 @@
 // Keeping --------------------------------------------------------------------
 
 bool TurnKeeper::MayKeep() const {
-  return m_reader.AwayFor() == 0 || m_peers->AnyReachesLog();
+  return m_reader.UnavailableFor() == 0 || m_peers->AnyReachesLog();
 }
 
 int TurnKeeper::PlaceFrom(int first) const {
   for (int i = 0; i < kTurnPartitions; ++i) {
     const int partition = (first + i) % kTurnPartitions;
-    if (!m_reader.Away(partition)) return partition;
+    if (!m_reader.IsUnavailable(partition)) return partition;
   }
   return first;
 }
@@ -225,7 +225,7 @@
 
 void TurnKeeper::Settle(const KeepingPtr& keeping, const LogPlace& kept) {
   if (!keeping->open) return;
-  const KeepDone done = std::move(keeping->done);
+  const PersistDone done = std::move(keeping->done);
   Close(keeping);
   m_history.Add(keeping->turn, m_loop->now(),
                 keeping->retention + kRetentionSlack);
@@ -244,15 +244,15 @@
       });
 }
 
-void TurnKeeper::Keep(const programs::Turn& turn, Duration retention,
-                      Time until, KeepDone done) {
+void TurnKeeper::Persist(const programs::Turn& turn, Duration retention,
+                      Time until, PersistDone done) {
   const int  place = PlaceFrom(PartitionOf(turn.program));
   const Time now = m_loop->now();
   const auto keeping = std::make_shared<Keeping>(
       Keeping{turn, retention, now, place, {}, 0, true, std::move(done)});
   ++m_unkept;
   Send(keeping);
-  m_loop->After(m_reader.Away(place) ? 0 : m_thresholds->log_patience,
+  m_loop->After(m_reader.IsUnavailable(place) ? 0 : m_thresholds->log_patience,
                 [this, keeping] { TryElsewhere(keeping); });
   m_loop->After(std::max<Duration>(0, until - now),
                 [this, keeping] { Close(keeping); });
@@ -268,7 +268,7 @@
     m_loop->After(pause, [this, keeping] { TryElsewhere(keeping); });
   };
   const int  next = PlaceFrom((keeping->partition + 1) % kTurnPartitions);
-  const bool another = !m_reader.Away(next) && !keeping->tried.contains(next);
+  const bool another = !m_reader.IsUnavailable(next) && !keeping->tried.contains(next);
   if (another) {
     keeping->partition = next;
     Send(keeping);
@@ -287,7 +287,7 @@
                      });
 }
 
-void TurnKeeper::KeepFor(const programs::Turn& turn, Duration retention,
+void TurnKeeper::PersistForPeer(const programs::Turn& turn, Duration retention,
                          TurnPeers::AppendDone done) {
   auto       waiting = std::make_shared<TurnPeers::AppendDone>(std::move(done));
   const auto answer = [waiting](std::optional<LogPlace> kept) {
--- a/src/yuccawick/gateway/turn_keeper.h
+++ b/src/yuccawick/gateway/turn_keeper.h
@@ -97,13 +97,13 @@
   using FindDone = std::function<void(FindOutcome)>;
   void Find(const std::string& id, const std::string& program, FindDone done);
 
-  using KeepDone = std::function<void(const LogPlace&)>;
+  using PersistDone = std::function<void(const LogPlace&)>;
   // `done` once the log has acknowledged the turn; never, if it does not by
   // `until`. Nobody is told of such a turn's end, so it need not be kept then.
-  void Keep(const programs::Turn& turn, Duration retention, Time until,
-            KeepDone done);
+  void Persist(const programs::Turn& turn, Duration retention, Time until,
+            PersistDone done);
   // Appends a peer's turn; nothing if the log does not acknowledge it soon.
-  void KeepFor(const programs::Turn& turn, Duration retention,
+  void PersistForPeer(const programs::Turn& turn, Duration retention,
                TurnPeers::AppendDone done);
   // Whether a turn that ends now could be kept: a partition answers this node,
   // or some other node.
@@ -131,7 +131,7 @@
     std::set<int>  tried;          // partitions it was sent to
     std::size_t    relays = 0;     // attempts through other nodes
     bool           open = true;
-    KeepDone       done;
+    PersistDone       done;
   };
   using KeepingPtr = std::shared_ptr<Keeping>;
 
--- a/src/yuccawick/gateway/turn_reader.cc
+++ b/src/yuccawick/gateway/turn_reader.cc
@@ -47,7 +47,7 @@
   ScanState& scan = ScanOf(partition);
   // Probes look for the return of a partition; a question would only wait for a
   // timeout before the peers are asked.
-  if (scan.health->away()) {
+  if (scan.health->unavailable()) {
     done(false);
     return;
   }
@@ -236,7 +236,7 @@
     done();
     return;
   }
-  if (Away(place.partition)) {
+  if (IsUnavailable(place.partition)) {
     done();
     return;
   }
@@ -262,14 +262,14 @@
 
 // Health ---------------------------------------------------------------------
 
-bool TurnReader::Away(int partition) const {
-  return m_scans[static_cast<std::size_t>(partition)].health->away();
+bool TurnReader::IsUnavailable(int partition) const {
+  return m_scans[static_cast<std::size_t>(partition)].health->unavailable();
 }
 
-Duration TurnReader::AwayFor() const {
-  Duration least = m_scans.front().health->AwayFor();
+Duration TurnReader::UnavailableFor() const {
+  Duration least = m_scans.front().health->UnavailableFor();
   for (const ScanState& scan : m_scans) {
-    least = std::min(least, scan.health->AwayFor());
+    least = std::min(least, scan.health->UnavailableFor());
   }
   return least;
 }
@@ -311,7 +311,7 @@
     return entry.second.place.until < now;
   });
   for (int i = 0; i < kTurnPartitions; ++i) {
-    if (Away(i)) ProbePartition(i);
+    if (IsUnavailable(i)) ProbePartition(i);
   }
 }
 
--- a/src/yuccawick/gateway/turn_reader.h
+++ b/src/yuccawick/gateway/turn_reader.h
@@ -54,16 +54,16 @@
   using ScanDone = std::function<void(bool)>;
   void Scan(int partition, ScanDone done, std::string wanted = {});
   // Whether it was read before, so that Fetch() may find it.
-  bool KnowsPlaceOf(const std::string& id) const {
+  bool KnowsPositionOf(const std::string& id) const {
     return m_places.contains(id);
   }
   // `done` once the turn is in memory, or could not be read.
   void Fetch(const std::string& id, const std::function<void()>& done);
 
   LogHealth* health(int partition) { return ScanOf(partition).health.get(); }
-  bool       Away(int partition) const;
+  bool       IsUnavailable(int partition) const;
   // How long no partition has answered this node, in ms; 0: one does.
-  Duration   AwayFor() const;
+  Duration   UnavailableFor() const;
   // How long turns read are kept, in ms: the longest of the routes.
   void       SetRetention(Duration retention) { m_retention = retention; }
   Duration   retention() const { return m_retention; }
--- a/src/yuccawick/pressure/memory_budget.cc
+++ b/src/yuccawick/pressure/memory_budget.cc
@@ -10,7 +10,7 @@
 constexpr double kLeastBound = 4 * kBytesPerMb;
 constexpr auto   kNoBound = std::numeric_limits<std::size_t>::max();
 
-std::size_t BoundOf(const BudgetSettings& settings, std::size_t limit_bytes) {
+std::size_t BoundOf(const MemoryBudgetSettings& settings, std::size_t limit_bytes) {
   if (limit_bytes == 0) return kNoBound;
   const double rest = (1.0 - settings.spare) * static_cast<double>(limit_bytes);
   return static_cast<std::size_t>(
@@ -19,22 +19,22 @@
 
 }  // namespace
 
-std::string_view Name(Held held) {
+std::string_view Name(MemoryKind held) {
   constexpr std::array<std::string_view, kHeldCount> kNames{
       "requests", "to_clients", "to_servers", "turns"};
   return kNames[static_cast<std::size_t>(held)];
 }
 
-std::string_view Name(Level level) {
+std::string_view Name(PressureLevel level) {
   constexpr std::array<std::string_view, 3> kNames{"calm", "near", "full"};
   return kNames[static_cast<std::size_t>(level)];
 }
 
-MemoryBudget::MemoryBudget(const BudgetSettings& settings,
+MemoryBudget::MemoryBudget(const MemoryBudgetSettings& settings,
                            std::size_t           limit_bytes)
     : m_settings(settings), m_bound(BoundOf(settings, limit_bytes)) {}
 
-bool MemoryBudget::MayTake(std::size_t body_bytes, std::size_t held) const {
+bool MemoryBudget::CanAcceptBody(std::size_t body_bytes, std::size_t held) const {
   if (!bounded()) return true;
   // A request that is being read is finished on a node that turns full
   // meanwhile, as long as it fits.
@@ -44,7 +44,7 @@
 
 bool MemoryBudget::bounded() const { return m_bound != kNoBound; }
 
-std::optional<std::size_t> MemoryBudget::TurnsToLeave(std::size_t kept) const {
+std::optional<std::size_t> MemoryBudget::TurnBytesTarget(std::size_t kept) const {
   constexpr double kLeft = 0.9;
   if (!bounded()) return std::nullopt;
   const double most = m_settings.turns * static_cast<double>(m_bound);
@@ -56,24 +56,24 @@
   return static_cast<double>(m_total) > share * static_cast<double>(m_bound);
 }
 
-Level MemoryBudget::LevelNow() const {
-  if (!bounded()) return Level::kCalm;
-  if (Above(m_settings.full)) return Level::kFull;
-  if (Above(m_settings.near)) return Level::kNear;
-  const bool stays = m_level != Level::kCalm && Above(m_settings.calm);
-  return stays ? Level::kNear : Level::kCalm;
+PressureLevel MemoryBudget::LevelNow() const {
+  if (!bounded()) return PressureLevel::kCalm;
+  if (Above(m_settings.full)) return PressureLevel::kFull;
+  if (Above(m_settings.near)) return PressureLevel::kNear;
+  const bool stays = m_level != PressureLevel::kCalm && Above(m_settings.calm);
+  return stays ? PressureLevel::kNear : PressureLevel::kCalm;
 }
 
 bool MemoryBudget::Update(Time now) {
-  const Level next = LevelNow();
-  if (next >= m_level) m_risen_at = next == Level::kCalm ? m_risen_at : now;
+  const PressureLevel next = LevelNow();
+  if (next >= m_level) m_risen_at = next == PressureLevel::kCalm ? m_risen_at : now;
   const bool held_back = next < m_level && now - m_risen_at < m_settings.hold;
   if (next == m_level || held_back) return false;
   m_level = next;
   return true;
 }
 
-void MemoryBudget::Change(Held kind, std::size_t from, std::size_t to) {
+void MemoryBudget::Change(MemoryKind kind, std::size_t from, std::size_t to) {
   std::size_t& held = m_held[static_cast<std::size_t>(kind)];
   held += to - from;
   m_total += to - from;
@@ -85,12 +85,12 @@
   m_bytes = bytes;
 }
 
-std::size_t ReaderToDrop(const std::vector<Reader>& readers,
+std::size_t ReaderToDrop(const std::vector<ClientBuffer>& readers,
                          Duration                   patience) {
-  std::size_t drop = kNobody;
+  std::size_t drop = kNoClient;
   for (std::size_t i = 0; i < readers.size(); ++i) {
     if (readers[i].waiting == 0 || readers[i].stalled < patience) continue;
-    if (drop == kNobody || readers[i].waiting > readers[drop].waiting) drop = i;
+    if (drop == kNoClient || readers[i].waiting > readers[drop].waiting) drop = i;
   }
   return drop;
 }
--- a/src/yuccawick/pressure/memory_budget.h
+++ b/src/yuccawick/pressure/memory_budget.h
@@ -30,7 +30,7 @@
 using net::Duration;
 using net::Time;
 
-enum class Held : std::uint8_t {
+enum class MemoryKind : std::uint8_t {
   kRequests,   // bodies, histories put before them, answers not passed on yet
   kToClients,  // not taken yet
   kToServers,  // not taken yet
@@ -38,13 +38,13 @@
   kCount,
 };
 inline constexpr std::size_t kHeldCount =
-    static_cast<std::size_t>(Held::kCount);
-std::string_view Name(Held held);
+    static_cast<std::size_t>(MemoryKind::kCount);
+std::string_view Name(MemoryKind held);
 
-enum class Level : std::uint8_t { kCalm, kNear, kFull };
-std::string_view Name(Level level);
+enum class PressureLevel : std::uint8_t { kCalm, kNear, kFull };
+std::string_view Name(PressureLevel level);
 
-struct BudgetSettings {
+struct MemoryBudgetSettings {
   // Of the process itself: code, threads, connections, tables, the log's pages.
   double   own_mb = 24;
   // Share of the limit for the allocator and for bytes that wait in the kernel.
@@ -60,7 +60,7 @@
   Duration hold = 3000;
   // A client is let go by a full node if it has taken nothing for so long:
   // several round trips, and a lost packet sent again.
-  Duration full_patience = 500;
+  Duration full_stall_timeout = 500;
 };
 
 // A body is held once whole and once on its way to the server.
@@ -69,39 +69,39 @@
 class MemoryBudget {
  public:
   // `limit_bytes` of the whole process; 0: there is none, all is calm.
-  MemoryBudget(const BudgetSettings& settings, std::size_t limit_bytes);
+  MemoryBudget(const MemoryBudgetSettings& settings, std::size_t limit_bytes);
   MemoryBudget(const MemoryBudget&) = delete;
   MemoryBudget& operator=(const MemoryBudget&) = delete;
 
   // Whether a body of this size, which grows a holding that counts `held` of it
   // already, may be read.
-  bool        MayTake(std::size_t body_bytes, std::size_t held = 0) const;
+  bool        CanAcceptBody(std::size_t body_bytes, std::size_t held = 0) const;
   // At this moment; the level may be higher for a while.
   bool        IsFull() const { return bounded() && Above(m_settings.full); }
   // True if the level has changed. Call often, and after each large change.
   bool        Update(Time now);
-  Level       level() const { return m_level; }
+  PressureLevel       level() const { return m_level; }
   bool        bounded() const;
   std::size_t bound() const { return m_bound; }
   std::size_t total() const { return m_total; }
   // How many bytes of turns are to be left if more are kept in memory; a tenth
   // below the most, so that it does not come up again at once.
-  std::optional<std::size_t> TurnsToLeave(std::size_t kept) const;
-  std::size_t                held(Held kind) const {
+  std::optional<std::size_t> TurnBytesTarget(std::size_t kept) const;
+  std::size_t                used(MemoryKind kind) const {
                    return m_held[static_cast<std::size_t>(kind)];
   }
 
  private:
   friend class Holding;
-  void  Change(Held kind, std::size_t from, std::size_t to);
-  Level LevelNow() const;
+  void  Change(MemoryKind kind, std::size_t from, std::size_t to);
+  PressureLevel LevelNow() const;
   bool  Above(double share) const;
 
-  BudgetSettings                      m_settings;
+  MemoryBudgetSettings                      m_settings;
   std::size_t                         m_bound;
   std::size_t                         m_total = 0;
   std::array<std::size_t, kHeldCount> m_held{};
-  Level                               m_level = Level::kCalm;
+  PressureLevel                               m_level = PressureLevel::kCalm;
   Time                                m_risen_at = 0;  // to this level or above
 };
 
@@ -111,7 +111,7 @@
 // What one object holds of one kind.
 class Holding final : public net::BufferMeter {
  public:
-  Holding(MemoryBudgetPtr budget, Held kind)
+  Holding(MemoryBudgetPtr budget, MemoryKind kind)
       : m_budget(std::move(budget)), m_kind(kind) {}
   ~Holding() override { Set(0); }
   Holding(const Holding&) = delete;
@@ -122,19 +122,19 @@
 
  private:
   MemoryBudgetPtr m_budget;
-  Held            m_kind;
+  MemoryKind            m_kind;
   std::size_t     m_bytes = 0;
 };
 
 // A client for which bytes wait.
-struct Reader {
+struct ClientBuffer {
   std::size_t waiting = 0;  // bytes
   Duration    stalled = 0;  // ms since it took any
 };
 
-inline constexpr std::size_t kNobody = std::numeric_limits<std::size_t>::max();
+inline constexpr std::size_t kNoClient = std::numeric_limits<std::size_t>::max();
 // Whom a full node lets go: of those that took nothing for `patience`, the one
 // for which most waits; an index into `readers`, or kNobody.
-std::size_t ReaderToDrop(const std::vector<Reader>& readers, Duration patience);
+std::size_t ReaderToDrop(const std::vector<ClientBuffer>& readers, Duration patience);
 
 }  // namespace yuccawick::pressure
--- a/src/yuccawick/programs/membership.cc
+++ b/src/yuccawick/programs/membership.cc
@@ -19,7 +19,7 @@
       static_cast<double>(std::numeric_limits<XXH64_hash_t>::max());
   // The double nearest to the highest hash makes the draw 1.
   constexpr double kAlmostOne = 1.0 - 1e-12;
-  return node.capacity / -std::log(std::min(draw, kAlmostOne));
+  return node.millicores / -std::log(std::min(draw, kAlmostOne));
 }
 
 }  // namespace
@@ -50,14 +50,14 @@
   return due;
 }
 
-std::vector<NodeInfo> Membership::HomesOf(std::string_view key) const {
-  auto homes = RankedFor(key);
+std::vector<NodeInfo> Membership::RankCoordinators(std::string_view key) const {
+  auto homes = RankAllNodes(key);
   std::erase_if(homes,
                 [this](const NodeInfo& node) { return Suspected(node.name); });
   return homes;
 }
 
-std::vector<NodeInfo> Membership::RankedFor(std::string_view key) const {
+std::vector<NodeInfo> Membership::RankAllNodes(std::string_view key) const {
   std::vector<NodeInfo> nodes = All();
   nodes.push_back(m_self);
   std::sort(nodes.begin(), nodes.end(),
--- a/src/yuccawick/programs/membership.h
+++ b/src/yuccawick/programs/membership.h
@@ -31,7 +31,7 @@
   net::Endpoint address;      // for other nodes
   std::string   zone;
   // What the node can carry against others, in thousandths of a core.
-  std::uint32_t capacity = kUsualCapacity;
+  std::uint32_t millicores = kUsualCapacity;
 
   bool operator==(const NodeInfo&) const = default;
 };
@@ -52,9 +52,9 @@
   std::vector<NodeInfo> TakeDueProbes(Time now);
   // The nodes that are not suspected, self included, the home of the key first
   // and then who takes its place if it cannot serve.
-  std::vector<NodeInfo> HomesOf(std::string_view key) const;
+  std::vector<NodeInfo> RankCoordinators(std::string_view key) const;
   // The same with suspected nodes in their places.
-  std::vector<NodeInfo> RankedFor(std::string_view key) const;
+  std::vector<NodeInfo> RankAllNodes(std::string_view key) const;
   bool                  Suspected(const std::string& name) const {
                      return m_suspects.contains(name);
   }
--- a/src/yuccawick/programs/record.cc
+++ b/src/yuccawick/programs/record.cc
@@ -167,7 +167,7 @@
     builder.setIncarnation(node.incarnation);
     builder.setAddress(node.address.Text());
     builder.setZone(node.zone);
-    builder.setCapacity(node.capacity);
+    builder.setCapacity(node.millicores);
   });
 }
 
--- a/src/yuccawick/programs/token_ledger.cc
+++ b/src/yuccawick/programs/token_ledger.cc
@@ -38,7 +38,7 @@
 }
 
 TokenAnswer TokenAccount::Reserve(Tokens most) {
-  if (Spare() < most) return TokenAnswer::kClaim;
+  if (Available() < most) return TokenAnswer::kClaim;
   m_running += most;
   return TokenAnswer::kStart;
 }
@@ -51,20 +51,20 @@
   TokenClaim claim;
   // One turn may go beyond the budget.
   claim.budget = m_budget + most;
-  claim.need = std::max<Tokens>(1, most - Spare());
+  claim.need = std::max<Tokens>(1, most - Available());
   claim.wish = claim.need;
   return claim;
 }
 
-void TokenAccount::Granted(Tokens granted) { m_granted += granted; }
+void TokenAccount::OnGranted(Tokens granted) { m_granted += granted; }
 
 void TokenAccount::EndTurn(Tokens most, Tokens used) {
   m_running -= most;
   m_used += used;
 }
 
-Tokens TokenAccount::GiveBack() {
-  const Tokens spare = Spare();
+Tokens TokenAccount::ReleaseUnused() {
+  const Tokens spare = Available();
   m_granted -= spare;
   return spare;
 }
--- a/src/yuccawick/programs/token_ledger.h
+++ b/src/yuccawick/programs/token_ledger.h
@@ -85,13 +85,13 @@
   // A claim for such a turn; `number`, `node` and `program` are the caller's
   // to fill.
   TokenClaim  NextClaim(Tokens most) const;
-  void        Granted(Tokens granted);
+  void        OnGranted(Tokens granted);
   // The turn ended and `used` of its tokens were handed to the client.
   void        EndTurn(Tokens most, Tokens used);
   // What is granted and not needed is given up; returns how much.
-  Tokens      GiveBack();
+  Tokens      ReleaseUnused();
   // Granted, and not used or reserved.
-  Tokens      Spare() const { return m_granted - m_used - m_running; }
+  Tokens      Available() const { return m_granted - m_used - m_running; }
   Tokens      budget() const { return m_budget; }
 
  private:
--- a/src/yuccawick/programs/turn_history.cc
+++ b/src/yuccawick/programs/turn_history.cc
@@ -25,7 +25,7 @@
   kept.turn = std::move(turn);
 }
 
-std::vector<const Turn*> TurnHistory::Line(const std::string& id) const {
+std::vector<const Turn*> TurnHistory::CollectChain(const std::string& id) const {
   std::vector<const Turn*> line;
   std::set<std::string>    seen;
   std::string              next = id;
@@ -40,16 +40,16 @@
 }
 
 std::string TurnHistory::Missing(const std::string& id) const {
-  const auto line = Line(id);
+  const auto line = CollectChain(id);
   return line.empty() ? id : line.back()->previous;
 }
 
-Chain TurnHistory::Build(const std::string& previous, const std::string& input,
+PromptBuildResult TurnHistory::Build(const std::string& previous, const std::string& input,
                          Time now, Duration retention) {
-  Chain chain;
+  PromptBuildResult chain;
   chain.missing = Missing(previous);
   if (!chain.missing.empty()) return chain;
-  const auto line = Line(previous);
+  const auto line = CollectChain(previous);
   for (auto turn = line.rbegin(); turn != line.rend(); ++turn) {
     chain.body += (*turn)->input;
     chain.body += (*turn)->output;
--- a/src/yuccawick/programs/turn_history.h
+++ b/src/yuccawick/programs/turn_history.h
@@ -28,7 +28,7 @@
 
 // The body that a backend server is to receive, or the id of the nearest turn
 // of the chain that is not at hand.
-struct Chain {
+struct PromptBuildResult {
   std::string body;
   std::string missing;  // empty: the chain is whole
 };
@@ -44,10 +44,10 @@
   std::string Missing(const std::string& id) const;
   // A chain that is used is kept on from now, all of it: a turn is worth
   // nothing without its ancestors.
-  Chain Build(const std::string& previous, const std::string& input, Time now,
+  PromptBuildResult Build(const std::string& previous, const std::string& input, Time now,
               Duration retention);
   // The turn and its ancestors as far as they are at hand, newest first.
-  std::vector<const Turn*> Line(const std::string& id) const;
+  std::vector<const Turn*> CollectChain(const std::string& id) const;
   void                     Expire(Time now);
   // Drops turns until at most so many bytes are left, those first that would
   // expire first. They may still be in the log, as any that is not held.
--- a/src/yuccawick/traffic/attempt.cc
+++ b/src/yuccawick/traffic/attempt.cc
@@ -42,9 +42,9 @@
   return kNames[static_cast<std::size_t>(step)];
 }
 
-NextStep AfterLoss(const Route& route, const Loss& loss) {
-  const bool certain = loss.cause == LossCause::kNotConnected ||
-                       loss.cause == LossCause::kNotRun;
+NextStep AfterLoss(const Route& route, const SendFailure& loss) {
+  const bool certain = loss.cause == SendFailureCause::kNotConnected ||
+                       loss.cause == SendFailureCause::kNotRun;
   const bool may_have_run = loss.in_doubt || !certain;
   const bool may_repeat = route.Repeatable() || !may_have_run;
   const bool has_time =
@@ -55,13 +55,13 @@
   if (!may_repeat || !has_time) return give_up;
   // A server that takes no connection has ended or is cut off; it does not use
   // up one of the servers that the route allows.
-  const bool more_servers = loss.cause == LossCause::kNotConnected ||
+  const bool more_servers = loss.cause == SendFailureCause::kNotConnected ||
                             loss.servers_sent < route.max_attempts;
   if (loss.other_server && more_servers) return NextStep::kOtherServer;
   // The same server again costs no further server. One that is full stays full
   // for longer than a repeat takes.
   const bool same_helps =
-      loss.cause == LossCause::kBroken || loss.cause == LossCause::kBadAnswer;
+      loss.cause == SendFailureCause::kBroken || loss.cause == SendFailureCause::kBadAnswer;
   return same_helps ? NextStep::kSameServer : give_up;
 }
 
--- a/src/yuccawick/traffic/attempt.h
+++ b/src/yuccawick/traffic/attempt.h
@@ -49,8 +49,8 @@
 };
 std::string_view Name(LossCause cause);
 
-struct Loss {
-  LossCause cause = LossCause::kBroken;
+struct SendFailure {
+  LossCause cause = SendFailureCause::kBroken;
   int       servers_sent = 0;      // distinct servers that were sent it
   int       repeats = 0;           // sends after the first
   bool      in_doubt = false;      // some send of it may have run
@@ -69,7 +69,7 @@
 };
 std::string_view Name(NextStep step);
 
-NextStep AfterLoss(const Route& route, const Loss& loss);
+NextStep AfterLoss(const Route& route, const SendFailure& loss);
 
 // Sends after the first that one attempt may cost, whatever the route allows.
 inline constexpr int      kMaxRepeats = 3;
--- a/src/yuccawick/traffic/placement.cc
+++ b/src/yuccawick/traffic/placement.cc
@@ -18,9 +18,9 @@
 }
 
 double PaceCounted(double pace, const PlacementWeights& weights) {
-  const double tolerance = weights.pace_tolerance;
-  if (pace > tolerance) return std::pow(pace / tolerance, weights.pace);
-  if (pace * tolerance < 1.0) return std::pow(pace * tolerance, weights.pace);
+  const double tolerance = weights.slowdown_tolerance;
+  if (pace > tolerance) return std::pow(pace / tolerance, weights.slowdown_exponent);
+  if (pace * tolerance < 1.0) return std::pow(pace * tolerance, weights.slowdown_exponent);
   return 1.0;
 }
 
@@ -92,7 +92,7 @@
       if (!candidate.holds_prefix)
         turn += ReadingCost(candidate.prompt_tokens, candidate.memory_part,
                             m_weights);
-      double cost = PaceCounted(candidate.pace, m_weights) * turn;
+      double cost = PaceCounted(candidate.slowdown, m_weights) * turn;
       cost += std::min(1.0, load);
       if (!candidate.same_zone) cost += m_weights.cross_zone;
       return cost + Failing(candidate, m_weights);
--- a/src/yuccawick/traffic/placement.h
+++ b/src/yuccawick/traffic/placement.h
@@ -18,8 +18,8 @@
 
 struct Candidate {
   const BackendServer* server = nullptr;
-  int                  own_load = 0;  // requests this node has under way there
-  int    others_load = 0;             // the same of other nodes, as last heard
+  int                  local_load = 0;  // requests this node has under way there
+  int    peer_load = 0;             // the same of other nodes, as last heard
   bool   same_zone = false;           // as this node
   bool   holds_prefix = false;  // has the request's prompt cached, most likely
   int    recent_failures = 0;   // since its last success
@@ -28,9 +28,9 @@
   // Of the memory that the server has for each of its slots, what the prompt
   // takes; 0: not known.
   double       memory_part = 0;
-  double       pace = 1;  // time of the same work, in medians of the service
+  double       slowdown = 1;  // time of the same work, in medians of the service
 
-  int load() const { return own_load + others_load; }
+  int load() const { return local_load + peer_load; }
 };
 
 class Placement {
@@ -58,10 +58,10 @@
   double cold_most = 1.0;
   double failure = 4.0;  // any healthy server first; also of a share of one
   // Power to which the pace counts; 0: all servers are taken for equally fast.
-  double pace = 1.2;
+  double slowdown_exponent = 1.2;
   // Paces up to this, and down to one over it, count as the median: servers
   // that are equal seem to differ by as much, by what their turns read.
-  double pace_tolerance = 1.35;
+  double slowdown_tolerance = 1.35;
 };
 
 // What a prompt that is not cached counts as.
--- a/src/yuccawick/traffic/request.h
+++ b/src/yuccawick/traffic/request.h
@@ -17,13 +17,13 @@
   std::string                 host;
   std::optional<Duration>     deadline;      // ms the client still waits
   std::string                 program;       // agent program; empty: none
-  std::string                 line;          // line of turns in the program
+  std::string                 session;          // line of turns in the program
   std::optional<Duration>     program_left;  // ms until it should be finished
   std::optional<std::int64_t> budget;        // tokens of the whole program
   std::int64_t                prompt_tokens = 0;
   // Of the prompt, that other programs' prompts begin with as well.
   std::int64_t                shared_tokens = 0;
-  std::int64_t                most_tokens = 0;  // that the turn may generate
+  std::int64_t                max_tokens = 0;  // that the turn may generate
   std::string                 previous_turn;
   std::string                 last_event;  // resumes after this event
   std::string                 prefix;      // id of the first prompt part
--- a/src/yuccawick/traffic/turn_limit.cc
+++ b/src/yuccawick/traffic/turn_limit.cc
@@ -55,7 +55,7 @@
   }
   if (!m_bounded) return;
   const double share = std::clamp(
-      m_settings.hold / std::max(*median, kLeastShare), kMostShrink, kMostGrow);
+      m_settings.target / std::max(*median, kLeastShare), kMostShrink, kMostGrow);
   m_limit = std::max(m_settings.least, m_limit * share + kGrowth);
   // Well above what is there: it bounds nothing any more.
   m_bounded = m_limit <= kUnbounded * (under_way + 1);
--- a/src/yuccawick/traffic/turn_limit.h
+++ b/src/yuccawick/traffic/turn_limit.h
@@ -40,7 +40,7 @@
   // helps where a burst is far above what the servers carry, and costs where
   // programs have time to share a shorter wait; so the operator says.
   double   engage = 0;
-  double   hold = 0.6;
+  double   target = 0.6;
   // Between two changes of the limit: what is changed shows after as long.
   Duration pause = 150;
   double   least = 2;  // turns that may always be under way
--- a/src/yuccawick/workspaces/rate_home.cc
+++ b/src/yuccawick/workspaces/rate_home.cc
@@ -86,20 +86,20 @@
 
 std::int64_t RateHome::Extra(const std::string& workspace,
                              const RateLimit& limit, Time now) const {
-  const double left = m_ledger.Left(workspace, now);
+  const double left = m_ledger.Remaining(workspace, now);
   if (left < kPlentyShare * Allowance(limit, m_window)) return 0;
   return static_cast<std::int64_t>(std::min(kMostExtra, kExtraShare * left));
 }
 
 bool RateHome::IsScarce(const std::string& workspace, const RateLimit& limit,
                         Time now) const {
-  return m_ledger.Left(workspace, now) <
+  return m_ledger.Remaining(workspace, now) <
          kScarceShare * Allowance(limit, m_window);
 }
 
 double RateHome::Free(const std::string& workspace, State* state,
                       Time now) const {
-  return m_ledger.Left(workspace, now + kLookAhead) +
+  return m_ledger.Remaining(workspace, now + kLookAhead) +
          static_cast<double>(state->pool.Available(now)) -
          state->programs.Committed(now);
 }
@@ -113,8 +113,8 @@
   return std::clamp<Duration>(wait, 1, kLongestReturn);
 }
 
-RateHome::Entered RateHome::Enter(const RateAsk& ask, Time now) {
-  Entered    entered{ask.workspace, ask.want, ask.waiting, false};
+RateHome::SubmittedRequest RateHome::Submit(const RateAsk& ask, Time now) {
+  SubmittedRequest    entered{ask.workspace, ask.want, ask.waiting, false};
   const auto limit = m_limit_of(ask.workspace);
   if (!limit) {
     entered.need += static_cast<int>(ask.waiting.size());
@@ -133,7 +133,7 @@
   for (const ProgramHash program : ask.waiting) {
     if (!state.programs.Knows(program)) {
       if (free < needed) {
-        entered.turned_away = true;
+        entered.refused = true;
         ++state.turned_away;
         continue;
       }
@@ -148,7 +148,7 @@
   return entered;
 }
 
-std::optional<RateAnswer> RateHome::Answer(const Entered& entered, Time now) {
+std::optional<RateAnswer> RateHome::TryRespond(const SubmittedRequest& entered, Time now) {
   RateAnswer answer;
   answer.may_go_on = entered.may_go_on;
   const auto limit = m_limit_of(entered.workspace);
@@ -159,7 +159,7 @@
   }
   State& state = StateOf(entered.workspace);
   answer.scarce = IsScarce(entered.workspace, *limit, now);
-  if (entered.turned_away) {
+  if (entered.refused) {
     answer.begin_retry = NextReturn(&state, *limit, now);
   }
   if (entered.need == 0) return answer;
@@ -176,22 +176,22 @@
     answer.origin = batch.origin;
     return answer;
   }
-  if (m_ledger.Left(entered.workspace, now) >= 1) {
+  if (m_ledger.Remaining(entered.workspace, now) >= 1) {
     m_due.insert(entered.workspace);
     return std::nullopt;
   }
   ++state.turned_away;
   state.refused_at = now;
-  answer.retry = std::min(
+  answer.retry_delay = std::min(
       kLongestReturn,
-      m_ledger.UntilLeft(entered.workspace, 1, now).value_or(kLongestReturn));
-  answer.begin_retry = std::max(answer.begin_retry, answer.retry);
+      m_ledger.TimeUntilRemaining(entered.workspace, 1, now).value_or(kLongestReturn));
+  answer.begin_retry = std::max(answer.begin_retry, answer.retry_delay);
   return answer;
 }
 
 void RateHome::TakeUnused(const std::string& workspace, State* state, Time now,
                           std::vector<RateEntry>* entries) {
-  for (const TokenPool::Batch& ended : state->pool.TakeEnded(now)) {
+  for (const TokenPool::Batch& ended : state->pool.TakeExpired(now)) {
     entries->push_back({workspace, -ended.tokens, ended.origin});
   }
   for (const RateEntry& told : std::exchange(state->unused, {})) {
@@ -210,7 +210,7 @@
   const double wish = std::max(1.0, std::ceil(ahead - pool)) +
                       static_cast<double>(Extra(workspace, limit, now));
   return static_cast<std::int64_t>(
-      std::floor(std::min(m_ledger.Left(workspace, now), wish)));
+      std::floor(std::min(m_ledger.Remaining(workspace, now), wish)));
 }
 
 std::vector<RateEntry> RateHome::NextClaim(Duration pause, Time now) {
@@ -229,7 +229,7 @@
   return entries;
 }
 
-std::vector<RateEntry> RateHome::NextReturns(Time now) {
+std::vector<RateEntry> RateHome::NextReleases(Time now) {
   std::vector<RateEntry> entries;
   for (auto& [workspace, state] : m_states) {
     TakeUnused(workspace, &state, now, &entries);
@@ -237,11 +237,11 @@
   return entries;
 }
 
-void RateHome::Granted(const LoggedRate& claim, Time sent, Time now) {
+void RateHome::OnGranted(const LoggedRate& claim, Time sent, Time now) {
   const Time until = sent + kRateHold;
   for (const RateEntry& entry : claim.record.entries) {
     if (entry.tokens < 0 || !m_limit_of(entry.workspace)) continue;
-    const double lacking = std::max(0.0, -m_ledger.Left(entry.workspace, now));
+    const double lacking = std::max(0.0, -m_ledger.Remaining(entry.workspace, now));
     const auto   granted =
         entry.tokens - static_cast<std::int64_t>(std::ceil(lacking));
     StateOf(entry.workspace).pool.Add({granted, until, claim.offset});
@@ -258,13 +258,13 @@
   });
 }
 
-std::vector<RateHome::Use> RateHome::TakeTurnedAway(Time now) {
-  std::vector<Use> uses;
+std::vector<RateHome::RefusalReport> RateHome::TakeRefusalReports(Time now) {
+  std::vector<RefusalReport> uses;
   for (auto& [workspace, state] : m_states) {
     const auto limit = m_limit_of(workspace);
     if (!limit || state.turned_away == 0) continue;
     uses.push_back({workspace, state.demand.PerSecond(now),
-                    Allowance(*limit, m_window), m_ledger.Left(workspace, now),
+                    Allowance(*limit, m_window), m_ledger.Remaining(workspace, now),
                     state.pool.Available(now), m_typical,
                     std::exchange(state.turned_away, 0)});
   }
--- a/src/yuccawick/workspaces/rate_home.h
+++ b/src/yuccawick/workspaces/rate_home.h
@@ -53,7 +53,7 @@
   std::vector<ProgramHash> may_go_on;  // programs of those that wait
   std::int64_t origin = -1;      // of the tokens, to tell what ends unused
   Duration     valid = 0;        // ms, of the tokens, from when it was asked
-  Duration     retry = 0;        // ms until there may be a token
+  Duration     retry_delay = 0;        // ms until there may be a token
   Duration     begin_retry = 0;  // ms until a program may begin
   bool         scarce = false;   // ask before any program begins
   bool         plenty = false;   // ask ahead of need: nobody else lacks tokens
@@ -91,43 +91,43 @@
 
 class RateHome {
  public:
-  RateHome(const RateLedger::LimitOf& limit_of, const RateWindow& window)
+  RateHome(const RateLedger::LimitLookup& limit_of, const RateWindow& window)
       : m_limit_of(limit_of), m_window(window), m_ledger(limit_of, window) {}
 
   RateLedger& ledger() { return m_ledger; }
 
   // A question whose programs were settled.
-  struct Entered {
+  struct SubmittedRequest {
     std::string              workspace;
     int                      need = 0;  // tokens
     std::vector<ProgramHash> may_go_on;
-    bool                     turned_away = false;  // some programs
+    bool                     refused = false;  // some programs
   };
-  Entered                   Enter(const RateAsk& ask, Time now);
-  std::optional<RateAnswer> Answer(const Entered& entered, Time now);
+  SubmittedRequest                   Submit(const RateAsk& ask, Time now);
+  std::optional<RateAnswer> TryRespond(const SubmittedRequest& entered, Time now);
   // Entries of the next claim; none: enough is at hand.
   // `pause`: ms until there can be another.
   std::vector<RateEntry>    NextClaim(Duration pause, Time now);
   // Entries that give back what ended unused. Call now and then: a claim does
   // it for the workspaces that it is for.
-  std::vector<RateEntry>    NextReturns(Time now);
+  std::vector<RateEntry>    NextReleases(Time now);
   // `claim` was taken by the ledger just now. What it took beyond what was
   // there is not granted.
-  void Granted(const LoggedRate& claim, Time sent, Time now);
+  void OnGranted(const LoggedRate& claim, Time sent, Time now);
   void Sweep(Time now);
 
   // For operators: a workspace of which something was turned away.
-  struct Use {
+  struct RefusalReport {
     std::string  workspace;
     double       asked_per_second = 0;
     double       allowance = 0;  // of a window
     double       left = 0;       // that may still be claimed
     std::int64_t pool = 0;       // claimed and not handed out
     double       need = 0;       // requests that a program takes
-    std::int64_t turned_away = 0;
+    std::int64_t refused = 0;
   };
   // Those since the last call.
-  std::vector<Use> TakeTurnedAway(Time now);
+  std::vector<RefusalReport> TakeRefusalReports(Time now);
 
  private:
   struct State {
@@ -158,7 +158,7 @@
   // Tokens that a node gets beyond what it asked for.
   std::int64_t Extra(const std::string& workspace, const RateLimit& limit,
                      Time now) const;
-  RateLedger::LimitOf                    m_limit_of;
+  RateLedger::LimitLookup                    m_limit_of;
   RateWindow                             m_window;
   RateLedger                             m_ledger;
   std::unordered_map<std::string, State> m_states;  // by workspace
--- a/src/yuccawick/workspaces/rate_ledger.cc
+++ b/src/yuccawick/workspaces/rate_ledger.cc
@@ -80,7 +80,7 @@
   }
 }
 
-void RateLedger::Take(const LoggedRate& claim, Time now) {
+void RateLedger::Apply(const LoggedRate& claim, Time now) {
   Count(claim, now + Span());
 }
 
@@ -89,7 +89,7 @@
   return limit ? Allowance(*limit, m_window) : 0;
 }
 
-double RateLedger::Left(const std::string& workspace, Time now) const {
+double RateLedger::Remaining(const std::string& workspace, Time now) const {
   double     left = AllowanceOf(workspace);
   const auto found = m_claims.find(workspace);
   if (found == m_claims.end()) return left;
@@ -99,9 +99,9 @@
   return left;
 }
 
-std::optional<Duration> RateLedger::UntilLeft(const std::string& workspace,
+std::optional<Duration> RateLedger::TimeUntilRemaining(const std::string& workspace,
                                               double tokens, Time now) const {
-  double left = Left(workspace, now);
+  double left = Remaining(workspace, now);
   if (left >= tokens) return 0;
   const auto found = m_claims.find(workspace);
   if (found == m_claims.end()) return std::nullopt;
--- a/src/yuccawick/workspaces/rate_ledger.h
+++ b/src/yuccawick/workspaces/rate_ledger.h
@@ -90,19 +90,19 @@
 
 class RateLedger {
  public:
-  using LimitOf =
+  using LimitLookup =
       std::function<std::optional<RateLimit>(const std::string& workspace)>;
-  RateLedger(LimitOf limit_of, const RateWindow& window)
+  RateLedger(LimitLookup limit_of, const RateWindow& window)
       : m_limit_of(std::move(limit_of)), m_window(window) {}
 
   // Forgets everything, and counts what was claimed before.
   void   Begin(const std::vector<LoggedRate>& before, Time now);
   // The next record of the log.
-  void   Take(const LoggedRate& claim, Time now);
+  void   Apply(const LoggedRate& claim, Time now);
   // Below 0: more was claimed than may be. Without a limit: 0.
-  double Left(const std::string& workspace, Time now) const;
+  double Remaining(const std::string& workspace, Time now) const;
   // Until so many are left, in ms; nothing: never.
-  std::optional<Duration> UntilLeft(const std::string& workspace, double tokens,
+  std::optional<Duration> TimeUntilRemaining(const std::string& workspace, double tokens,
                                     Time now) const;
   // How long a claim counts, in ms.
   Duration                Span() const { return m_window.length + kRateHold; }
@@ -122,7 +122,7 @@
                        const RateEntry& entry);
   double      AllowanceOf(const std::string& workspace) const;
 
-  LimitOf                                 m_limit_of;
+  LimitLookup                                 m_limit_of;
   RateWindow                              m_window;
   std::unordered_map<std::string, Claims> m_claims;  // by workspace
 };
--- a/src/yuccawick/workspaces/token_pool.cc
+++ b/src/yuccawick/workspaces/token_pool.cc
@@ -31,7 +31,7 @@
   return taken;
 }
 
-std::vector<TokenPool::Batch> TokenPool::TakeEnded(Time now) {
+std::vector<TokenPool::Batch> TokenPool::TakeExpired(Time now) {
   Expire(now);
   return std::exchange(m_ended, {});
 }
--- a/src/yuccawick/workspaces/token_pool.h
+++ b/src/yuccawick/workspaces/token_pool.h
@@ -31,7 +31,7 @@
   Batch              TakeUpTo(std::int64_t most, Time now);
   std::int64_t       Available(Time now);
   // Those that ended unused since the last call.
-  std::vector<Batch> TakeEnded(Time now);
+  std::vector<Batch> TakeExpired(Time now);
 
  private:
   void Expire(Time now);
--- a/tests/admission_test.cc
+++ b/tests/admission_test.cc
@@ -39,7 +39,7 @@
   ask.service = "s";
   ask.route = "r";
   ask.prompt_tokens = prompt;
-  ask.most_tokens = 100;
+  ask.max_tokens = 100;
   ask.left = kLeft;
   return ask;
 }
@@ -139,7 +139,7 @@
 class Replay {
  public:
   explicit Replay(bool admission) : m_random(7) {
-    if (!admission) m_settings.places = 0;
+    if (!admission) m_settings.slot_overcommit = 0;
     for (int i = 0; i < kHomes; ++i) {
       m_homes.push_back(
           std::make_unique<ProgramRoom>(&m_settings, &m_share, -10'000));
@@ -199,20 +199,20 @@
     ask.under_way = program->begun;
     ask.left = program->due - m_now;
     ask.partition = program->number % kHomes;
-    const auto answer = HomeOf(*program).Ask(ask, kRoom, m_now);
-    if (answer.may_run) {
+    const auto answer = HomeOf(*program).TryAdmit(ask, kRoom, m_now);
+    if (answer.admitted) {
       program->begun = true;
       m_servers[static_cast<std::size_t>(program->server)].Add(program);
     } else if (++program->tries < kTries) {
       std::uniform_real_distribution<double> spread(0.5, 1.5);
       program->next = m_now + 1 +
                       static_cast<Duration>(spread(m_random) *
-                                            static_cast<double>(answer.retry));
+                                            static_cast<double>(answer.retry_delay));
     }
   }
 
   void EndTurn(Program* program) {
-    HomeOf(*program).TurnEnded(AskOf(program->number, program->Prompt()), 100,
+    HomeOf(*program).OnTurnEnded(AskOf(program->number, program->Prompt()), 100,
                                m_now);
     if (++program->turns < kTurns) {
       program->next = m_now + kPause;
@@ -226,7 +226,7 @@
       m_homes[i]->Sweep(m_now);
       for (std::size_t j = 0; j < m_homes.size(); ++j) {
         if (i != j)
-          m_homes[j]->TakeUses(std::to_string(i), m_homes[i]->OwnUses(), m_now);
+          m_homes[j]->SetPeerUsage(std::to_string(i), m_homes[i]->LocalUsageByPartition(), m_now);
       }
     }
   }
@@ -272,11 +272,11 @@
 class Home {
  public:
   explicit Home(Time started = -10'000) : room(&settings, &share, started) {
-    settings.places = 0.6;  // of the time that is taken for needed at first
+    settings.slot_overcommit = 0.6;  // of the time that is taken for needed at first
   }
 
   bool Ask(const TurnAsk& ask, Time now) {
-    return room.Ask(ask, kRoom, now).may_run;
+    return room.TryAdmit(ask, kRoom, now).admitted;
   }
   // Programs `first` and on begin until one is refused; returns which.
   int Fill(int first, Time now) {
@@ -298,35 +298,35 @@
     ask.under_way = true;
     cr_assert(next.Ask(ask, 0));
   }
-  cr_assert_eq(next.room.OwnUse().programs, kServers * kSlots);
+  cr_assert_eq(next.room.LocalUsage().programs, kServers * kSlots);
   cr_assert(!next.Ask(AskOf(1000), 0));
 }
 
 // The home whose news stops holds nothing after a while.
 Test(Admission, OtherHomeSilent_ItsUseIsForgotten) {
   Home home;
-  home.room.TakeUses("other", {{7, {100, 100, 300'000}}}, 0);
+  home.room.SetPeerUsage("other", {{7, {100, 100, 300'000}}}, 0);
   cr_assert(!home.Ask(AskOf(1), 10));
-  cr_assert(home.Ask(AskOf(2), 10 + home.settings.use_memory));
+  cr_assert(home.Ask(AskOf(2), 10 + home.settings.usage_report_ttl));
 }
 
 // Clients end without a word between two turns.
 Test(Admission, ProgramsVanish_TheirRoomComesBack) {
   Home      home;
   const int begun = home.Fill(0, 0);
-  for (int i = 0; i < begun; ++i) home.room.TurnEnded(AskOf(i), 100, 200);
+  for (int i = 0; i < begun; ++i) home.room.OnTurnEnded(AskOf(i), 100, 200);
   home.room.Sweep(300);
-  cr_assert_eq(home.room.OwnUse().programs, begun);
-  home.room.Sweep(300 + 2 * home.settings.silence);
-  cr_assert_eq(home.room.OwnUse(), RoomUse());
+  cr_assert_eq(home.room.LocalUsage().programs, begun);
+  home.room.Sweep(300 + 2 * home.settings.default_think_time);
+  cr_assert_eq(home.room.LocalUsage(), RoomUse());
 }
 
 // A program that was taken for ended goes on, in servers that are full.
 Test(Admission, SilentProgramReturns_IsNotRefused) {
   Home home;
   cr_assert(home.Ask(AskOf(0), 0));
-  home.room.TurnEnded(AskOf(0), 100, 100);
-  home.room.Sweep(100 + 3 * home.settings.silence);
+  home.room.OnTurnEnded(AskOf(0), 100, 100);
+  home.room.Sweep(100 + 3 * home.settings.default_think_time);
   home.Fill(1, 2000);
   cr_assert(home.Ask(AskOf(0, 1200), 2000));
 }
@@ -335,8 +335,8 @@
 Test(Admission, TurnsWithdrawn_PlacesComeBack) {
   Home      home;
   const int begun = home.Fill(0, 0);
-  for (int i = 0; i < begun; ++i) home.room.Withdraw(AskOf(i), 10);
-  cr_assert_eq(home.room.OwnUse().places, 0);
+  for (int i = 0; i < begun; ++i) home.room.CancelAdmission(AskOf(i), 10);
+  cr_assert_eq(home.room.LocalUsage().slots, 0);
 }
 
 // The end of a turn is never heard of.
@@ -344,7 +344,7 @@
   Home home;
   home.Fill(0, 0);
   home.room.Sweep(120'000);
-  cr_assert_eq(home.room.OwnUse(), RoomUse());
+  cr_assert_eq(home.room.LocalUsage(), RoomUse());
 }
 
 // Those who were sent away come back among many that ask for the first time.
@@ -352,8 +352,8 @@
   Home    home;
   TurnAsk refused = AskOf(home.Fill(0, 0));
   cr_assert(!home.Ask(refused, 0));
-  const Time back = home.room.RetryFor(refused.program, 0);
-  home.room.TurnEnded(AskOf(0), 100, back);
+  const Time back = home.room.RetryDelay(refused.program, 0);
+  home.room.OnTurnEnded(AskOf(0), 100, back);
   cr_assert(!home.Ask(AskOf(1000), back));
   refused.left = kLeft - back;
   cr_assert(home.Ask(refused, back));
@@ -365,10 +365,10 @@
   const int begun = home.Fill(0, 0);
   TurnAsk   late = AskOf(begun);
   late.left = -1;
-  home.room.TurnEnded(AskOf(0), 100, 10);
+  home.room.OnTurnEnded(AskOf(0), 100, 10);
   cr_assert(!home.Ask(late, 10));
   cr_assert(home.Ask(AskOf(1000), 10));
-  for (int i = 1; i < begun; ++i) home.room.TurnEnded(AskOf(i), 100, 10);
+  for (int i = 1; i < begun; ++i) home.room.OnTurnEnded(AskOf(i), 100, 10);
   cr_assert(home.Ask(late, 10));
 }
 
@@ -376,8 +376,8 @@
 Test(Admission, HomesWithStaleNews_DoNotGiveRoomTwice) {
   Home a;
   Home b;
-  a.room.TakeUses("b", {{7, {20, 20, 20'000}}}, 0);
-  b.room.TakeUses("a", {{7, {20, 20, 20'000}}}, 0);
+  a.room.SetPeerUsage("b", {{7, {20, 20, 20'000}}}, 0);
+  b.room.SetPeerUsage("a", {{7, {20, 20, 20'000}}}, 0);
   const int begun = a.Fill(0, 40) + b.Fill(0, 40);
   cr_assert_leq(begun, kServers * kSlots - 20);
   cr_assert_gt(begun, 0);
@@ -391,11 +391,11 @@
     a.Ask(AskOf(i), i);
     b.Ask(AskOf(i), i);
   }
-  const RoomUse own = a.room.OwnUse();
-  a.room.TakeUses("b", b.room.OwnUses(), 10);
+  const RoomUse own = a.room.LocalUsage();
+  a.room.SetPeerUsage("b", b.room.LocalUsageByPartition(), 10);
   cr_assert_eq(a.room.TotalUse(10).memory, own.memory);
   cr_assert_eq(a.room.TotalUse(10).programs, own.programs);
-  cr_assert_eq(a.room.TotalUse(10).places, 2 * own.places);
+  cr_assert_eq(a.room.TotalUse(10).slots, 2 * own.slots);
 }
 
 // Power was lost everywhere: nobody knows what is under way.
@@ -412,18 +412,18 @@
   Home home;
   for (int i = 0; i < 1000; ++i) cr_assert(home.Ask(AskOf(0, 600 + i), i));
   for (int i = 0; i < 1000; ++i)
-    home.room.TurnEnded(AskOf(0, 600 + i), 100, 1000);
-  cr_assert_eq(home.room.OwnUse().programs, 1);
-  home.room.Sweep(1000 + 3 * home.settings.silence);
-  cr_assert_eq(home.room.OwnUse(), RoomUse());
+    home.room.OnTurnEnded(AskOf(0, 600 + i), 100, 1000);
+  cr_assert_eq(home.room.LocalUsage().programs, 1);
+  home.room.Sweep(1000 + 3 * home.settings.default_think_time);
+  cr_assert_eq(home.room.LocalUsage(), RoomUse());
 }
 
 // Programs that pause for long hold the memory while the servers are idle.
 Test(Admission, ServersHalfIdle_NothingIsRefused) {
   Home home;
-  home.room.TakeUses("other", {{7, {200, 10, kRoom.memory}}}, 0);
+  home.room.SetPeerUsage("other", {{7, {200, 10, kRoom.memory}}}, 0);
   cr_assert(home.Ask(AskOf(0), 10));
-  home.room.TakeUses("other", {{7, {200, kServers * kSlots, kRoom.memory}}},
+  home.room.SetPeerUsage("other", {{7, {200, kServers * kSlots, kRoom.memory}}},
                      10);
   cr_assert(!home.Ask(AskOf(1), 10));
 }
--- a/tests/affinity_test.cc
+++ b/tests/affinity_test.cc
@@ -64,7 +64,7 @@
             ? lines[program]
             : LikelyHome(program, candidates, HomeReach::kZone);
     for (Candidate& candidate : candidates) {
-      candidate.own_load = loads[candidate.server->id];
+      candidate.local_load = loads[candidate.server->id];
       candidate.holds_prefix = candidate.server->id == warm;
     }
     const double draw = std::uniform_real_distribution<double>()(*random);
@@ -138,7 +138,7 @@
   const auto servers = MakeServers("a");
   auto       candidates = CandidatesOf(servers, tokens);
   candidates.front().holds_prefix = true;
-  candidates.front().own_load = fuller;
+  candidates.front().local_load = fuller;
   const auto placement =
       MakePlacement(traffic::PlacementKind::kZoneAndPrefix, {});
   return placement->Choose(candidates, 0.5) == 0;
--- a/tests/capacity_test.cc
+++ b/tests/capacity_test.cc
@@ -164,8 +164,8 @@
   for (Time now = kSecond; now < 6 * kSecond; now += kGap) {
     for (std::size_t i = 0; i < 6; ++i) {
       nodes[random() % 2].See(i, TimeAt(i, &random), now);
-      nodes[0].paces[i].Hear(nodes[1].paces[i].TakeUntold(), now);
-      nodes[1].paces[i].Hear(nodes[0].paces[i].TakeUntold(), now);
+      nodes[0].paces[i].MergePeer(nodes[1].paces[i].TakeUnsent(), now);
+      nodes[1].paces[i].MergePeer(nodes[0].paces[i].TakeUnsent(), now);
     }
     if (now % 500 != 0) continue;
     for (Observer& node : nodes) node.Recenter();
@@ -182,13 +182,13 @@
   Observer        observer(3);
   std::mt19937_64 random(1);
   Watch(&observer, 0, 5 * kSecond, &random);
-  for (ServerPace& pace : observer.paces) pace.TakeUntold();
+  for (ServerPace& pace : observer.paces) pace.TakeUnsent();
   observer.See(0, 0.7 * kEvent, 5 * kSecond);
-  cr_expect_not(observer.paces[0].HasNews());
-  cr_expect_gt(observer.paces[0].Untold().samples, 0);
-  observer.paces[0].TakeUntold();
+  cr_expect_not(observer.paces[0].NeedsImmediateReport());
+  cr_expect_gt(observer.paces[0].Unsent().samples, 0);
+  observer.paces[0].TakeUnsent();
   observer.See(0, 2.5 * 0.7 * kEvent, 5 * kSecond);
-  cr_expect(observer.paces[0].HasNews());
+  cr_expect(observer.paces[0].NeedsImmediateReport());
 }
 
 Test(PaceScale, KindsOfWorkThatEnded_AreForgotten) {
--- a/tests/fairness_test.cc
+++ b/tests/fairness_test.cc
@@ -60,7 +60,7 @@
           continue;
         }
         const bool may =
-            m_under_way + 1 <= m_programs * m_share->ShareFor(caller.who, now);
+            m_under_way + 1 <= m_programs * m_share->AdmissionThreshold(caller.who, now);
         if (may) Begin(caller.who.workspace, now);
         if (now < 5000) continue;
         Served& count = served[caller.who.workspace + caller.who.route +
@@ -159,7 +159,7 @@
   cr_assert_geq(hot, 0.95 * calm, "%f of %f, first come %f", hot, calm,
                 first_come);
   cr_assert_lt(first_come, 0.95 * calm, "%f", first_come);
-  const auto top = fair->TopUsers(1);
+  const auto top = fair->TopWorkspaces(1);
   cr_assert_eq(top.size(), 1);
   cr_assert(top[0].workspace == "w0");
   cr_assert_gt(top[0].margin, 0);
@@ -200,7 +200,7 @@
       fair->Charge("w" + std::to_string(turn / 6 % 5), 200, 1000);
   }
   const Beginner hot{"hot", "r"};
-  cr_assert_lt(fair->ShareFor(hot, 1000), 0.95);
+  cr_assert_lt(fair->AdmissionThreshold(hot, 1000), 0.95);
   Time now = 1000;
   for (int turn = 0; turn < 100; ++turn) {
     now += 160;
@@ -208,7 +208,7 @@
       fair->Charge("w" + std::to_string(i), 100, now);
     }
   }
-  cr_assert_geq(fair->ShareFor(hot, now), 0.98);
+  cr_assert_geq(fair->AdmissionThreshold(hot, now), 0.98);
 }
 
 // By its priority a workspace may use more before it leaves room to others.
@@ -219,8 +219,8 @@
     fair.Charge("first", 200, 1000);
     fair.Charge("second", 200, 1000);
   }
-  cr_assert_float_eq(fair.ShareFor({"first", "r"}, kMargins), 1, 1e-9);
-  cr_assert_lt(fair.ShareFor({"second", "r"}, kMargins), 1);
+  cr_assert_float_eq(fair.AdmissionThreshold({"first", "r"}, kMargins), 1, 1e-9);
+  cr_assert_lt(fair.AdmissionThreshold({"second", "r"}, kMargins), 1);
 }
 
 // A route of the next priority asks for as much; together it is twice the room.
@@ -254,10 +254,10 @@
 Test(Fairness, OnlyLessUrgentRouteAsks_MayTakeTheLastPlace) {
   const auto fair = Fair();
   Beginner   other{"", "other", 1};
-  cr_assert_float_eq(fair->ShareFor(other, kMargins), 1, 1e-9);
-  fair->ShareFor({"", "urgent", 0}, kMargins);
-  cr_assert_lt(fair->ShareFor(other, kMargins), 1);
-  cr_assert_float_eq(fair->ShareFor(other, kMargins + 10'200), 1, 1e-9);
+  cr_assert_float_eq(fair->AdmissionThreshold(other, kMargins), 1, 1e-9);
+  fair->AdmissionThreshold({"", "urgent", 0}, kMargins);
+  cr_assert_lt(fair->AdmissionThreshold(other, kMargins), 1);
+  cr_assert_float_eq(fair->AdmissionThreshold(other, kMargins + 10'200), 1, 1e-9);
 }
 
 Test(Fairness, LateProgramsInCalm_AreServed) {
@@ -288,12 +288,12 @@
 Test(Fairness, HomeStartsAnew_TreatsAllAlike) {
   const auto fair = Fair();
   for (const char* name : {"a", "b", "hot"}) {
-    cr_assert_float_eq(fair->ShareFor({name, "r"}, kMargins), 1, 1e-9);
+    cr_assert_float_eq(fair->AdmissionThreshold({name, "r"}, kMargins), 1, 1e-9);
   }
   fair->Charge("hot", 200, kMargins);
-  cr_assert_float_eq(fair->ShareFor({"hot", "r"}, kMargins), 1, 1e-9);
+  cr_assert_float_eq(fair->AdmissionThreshold({"hot", "r"}, kMargins), 1, 1e-9);
   fair->Charge("a", 20, kMargins);
-  cr_assert_float_eq(fair->ShareFor({"hot", "r"}, kMargins), 1, 1e-9);
+  cr_assert_float_eq(fair->AdmissionThreshold({"hot", "r"}, kMargins), 1, 1e-9);
 }
 
 // Each home sees a few of a workspace's programs, too few to say much.
@@ -306,21 +306,21 @@
       if (turn % 2 == 0) home->Charge("w" + std::to_string(turn), 200, 1000);
     }
   }
-  const double before = one->ShareFor({"hot", "r"}, kMargins);
-  other->Hear(one->TakeUntold(), 1000);
-  one->Hear(other->TakeUntold(), 1000);
-  const double after = one->ShareFor({"hot", "r"}, kMargins);
+  const double before = one->AdmissionThreshold({"hot", "r"}, kMargins);
+  other->MergePeer(one->TakeUnsent(), 1000);
+  one->MergePeer(other->TakeUnsent(), 1000);
+  const double after = one->AdmissionThreshold({"hot", "r"}, kMargins);
   cr_assert_lt(after, before, "%f, %f", before, after);
-  cr_assert_float_eq(after, other->ShareFor({"hot", "r"}, kMargins), 1e-9);
+  cr_assert_float_eq(after, other->AdmissionThreshold({"hot", "r"}, kMargins), 1e-9);
   // What was heard is not told on.
-  cr_assert(one->TakeUntold().empty());
+  cr_assert(one->TakeUnsent().empty());
 }
 
 // A node that runs another version may send anything.
 Test(Fairness, ChargesThatAreNoNumbers_AreLeftOut) {
   const auto   fair = Fair();
   const double kNan = std::nan("");
-  fair->Hear({{"a", kNan, 1}, {"b", -5, 1}, {"c", 5, 0}, {"", 5, 1}}, 1000);
+  fair->MergePeer({{"a", kNan, 1}, {"b", -5, 1}, {"c", 5, 0}, {"", 5, 1}}, 1000);
   cr_assert_eq(fair->workspaces(), 0);
 }
 
@@ -328,7 +328,7 @@
 Test(Fairness, OneWorkspaceAlone_MayTakeTheLastPlace) {
   const auto fair = Fair();
   for (int i = 0; i < 100; ++i) fair->Charge("only", 200, 1000 + i);
-  cr_assert_float_eq(fair->ShareFor({"only", "r"}, kMargins), 1, 1e-9);
+  cr_assert_float_eq(fair->AdmissionThreshold({"only", "r"}, kMargins), 1, 1e-9);
 }
 
 Test(Fairness, EightThousandWorkspaces_StateIsBoundedAndIdleOnesForgotten) {
@@ -355,7 +355,7 @@
   fair->Charge("a", 200, 1000);
   fair->Charge("b", 200, 1000);
   fair->Charge("a", 200, 1000 + 1'000'000'000);
-  const double share = fair->ShareFor({"a", "r"}, 1'000'001'190);
+  const double share = fair->AdmissionThreshold({"a", "r"}, 1'000'001'190);
   cr_assert_geq(share, 0.5);
   cr_assert_leq(share, 1.0);
 }
--- a/tests/placement_test.cc
+++ b/tests/placement_test.cc
@@ -108,10 +108,10 @@
     for (std::size_t k = 0; k < m_servers.size(); ++k) {
       Candidate candidate;
       candidate.server = &m_servers[k];
-      candidate.own_load = m_own[node][k];
+      candidate.local_load = m_own[node][k];
       candidate.same_zone = m_servers[k].zone == kZoneNames[zone];
-      candidate.others_load = static_cast<int>(std::lround(m_stale[zone][k]));
-      candidate.pace = known(node, k);
+      candidate.peer_load = static_cast<int>(std::lround(m_stale[zone][k]));
+      candidate.slowdown = known(node, k);
       candidates.push_back(candidate);
     }
     traffic::LeaveSome(&candidates, {}, &m_random);
@@ -240,7 +240,7 @@
     for (const BackendServer& server : servers) {
       Candidate candidate;
       candidate.server = &server;
-      candidate.own_load = static_cast<int>(random() % 9);
+      candidate.local_load = static_cast<int>(random() % 9);
       candidate.same_zone = random() % 3 == 0;
       candidate.holds_prefix = random() % 5 == 0;
       candidate.recent_failures = random() % 8 == 0 ? 1 : 0;
@@ -259,9 +259,9 @@
   candidates[0].holds_prefix = true;
   for (Candidate& each : candidates) each.prompt_tokens = 4000;
   const auto placement = MakePlacement(PlacementKind::kSoonestEnd, {});
-  candidates[0].pace = 1.1;
+  candidates[0].slowdown = 1.1;
   cr_expect_eq(placement->Choose(candidates, 0.5), 0);
-  candidates[0].pace = 2.5;
+  candidates[0].slowdown = 2.5;
   cr_expect_eq(placement->Choose(candidates, 0.5), 1);
 }
 
@@ -271,7 +271,7 @@
   std::vector<Candidate> candidates(2);
   for (std::size_t i = 0; i < 2; ++i) candidates[i].server = &servers[i];
   candidates[0].holds_prefix = true;
-  candidates[0].own_load = kSlots / 2;
+  candidates[0].local_load = kSlots / 2;
   for (Candidate& each : candidates) each.prompt_tokens = 2000;
   const auto placement = MakePlacement(PlacementKind::kSoonestEnd, {});
   cr_expect_eq(placement->Choose(candidates, 0.5), 1);
@@ -353,7 +353,7 @@
     m_backends.NoteWork(id, "", took);
   }
   double LoadOf(const std::string& id) { return m_backends.Find(id)->load; }
-  double PaceOf(const std::string& id) { return m_backends.Find(id)->pace; }
+  double PaceOf(const std::string& id) { return m_backends.Find(id)->slowdown; }
   gateway::Backends&          backends() { return m_backends; }
   std::vector<BackendServer>& servers() { return m_servers; }
 
@@ -383,9 +383,9 @@
 
 Test(Backends, NeighboursTellAndFallSilent_SumHoldsWhatTheySaidLast) {
   Picture                 picture(2);
-  gateway::Backends::News some;
+  gateway::Backends::ServerReports some;
   some["a0"].requests = 6;
-  gateway::Backends::News more = some;
+  gateway::Backends::ServerReports more = some;
   more["a0"].requests = 12;
   picture.backends().SetPeerNews("x", more);
   picture.backends().SetPeerNews("x", some);
--- a/tests/programs_test.cc
+++ b/tests/programs_test.cc
@@ -120,7 +120,7 @@
   // program whose budget is only reserved is asked to wait.
   TokenAccount account(40);
   cr_assert(account.Reserve(20) == TokenAnswer::kClaim);
-  account.Granted(20);
+  account.OnGranted(20);
   cr_assert(account.Reserve(20) == TokenAnswer::kStart);
   cr_assert(account.Reserve(20) == TokenAnswer::kClaim);
   cr_assert(account.MayFitLater(20));
@@ -159,7 +159,7 @@
         claim.number = ++number;
         claim.node = std::to_string(step % 4);
         claim.program = "p";
-        node.Granted(log.Apply(claim, 0));
+        node.OnGranted(log.Apply(claim, 0));
         answer = node.Reserve(most);
       }
       if (answer != TokenAnswer::kStart) continue;
@@ -168,7 +168,7 @@
       used += spent;
       if (step % 3 != 0) continue;
       TokenClaim back{++number, std::to_string(step % 4), "p", budget,
-                      0,        -node.GiveBack(),         true};
+                      0,        -node.ReleaseUnused(),         true};
       log.Apply(back, 0);
       if (step % 9 == 0) log.Apply(back, 0);
     }
@@ -201,7 +201,7 @@
     std::vector<std::string> homes;
     homes.reserve(50);
     for (int key = 0; key < 50; ++key) {
-      homes.push_back(members.HomesOf(std::to_string(key)).front().name);
+      homes.push_back(members.RankCoordinators(std::to_string(key)).front().name);
     }
     if (first.empty()) first = homes;
     cr_assert(homes == first);
@@ -215,17 +215,17 @@
   programs::Membership members(MakeNode("a"));
   for (int i = 0; i < 5; ++i) {
     programs::NodeInfo large = MakeNode("large" + std::to_string(i));
-    large.capacity = 500;
+    large.millicores = 500;
     members.Put(large);
     programs::NodeInfo small = MakeNode("small" + std::to_string(i));
-    small.capacity = 100;
+    small.millicores = 100;
     members.Put(small);
   }
   int           at_small = 0;
   int           at_large = 0;
   constexpr int kKeys = 3000;
   for (int key = 0; key < kKeys; ++key) {
-    const auto home = members.HomesOf(std::to_string(key)).front().name;
+    const auto home = members.RankCoordinators(std::to_string(key)).front().name;
     at_small += home.starts_with("small") ? 1 : 0;
     at_large += home.starts_with("large") ? 1 : 0;
   }
@@ -242,17 +242,17 @@
   std::vector<std::string> before;
   before.reserve(50);
   for (int key = 0; key < 50; ++key) {
-    before.push_back(members.HomesOf(std::to_string(key)).front().name);
+    before.push_back(members.RankCoordinators(std::to_string(key)).front().name);
   }
   members.Suspect("c", 0);
   for (int key = 0; key < 50; ++key) {
-    const auto now = members.HomesOf(std::to_string(key)).front().name;
+    const auto now = members.RankCoordinators(std::to_string(key)).front().name;
     const auto was = before[static_cast<std::size_t>(key)];
     cr_assert(was == "c" ? now != "c" : now == was);
   }
   members.Trust("c");
   for (int key = 0; key < 50; ++key) {
-    cr_assert(members.HomesOf(std::to_string(key)).front().name ==
+    cr_assert(members.RankCoordinators(std::to_string(key)).front().name ==
               before[static_cast<std::size_t>(key)]);
   }
 }
--- a/tests/rate_limit_test.cc
+++ b/tests/rate_limit_test.cc
@@ -73,7 +73,7 @@
     Time                             acked = 0;
     bool                             waiting = false;  // a record is under way
     std::uint64_t                    life = 0;
-    std::optional<RateHome::Entered> question;
+    std::optional<RateHome::SubmittedRequest> question;
   };
   // A record on its way into the log, and its answer on the way back.
   struct Flight {
@@ -146,12 +146,12 @@
       home->home->ledger().Begin(before, m_now);
     } else {
       for (std::int64_t i = home->next; i < *flight.offset; ++i) {
-        home->home->ledger().Take({i, m_log[static_cast<std::size_t>(i)]},
+        home->home->ledger().Apply({i, m_log[static_cast<std::size_t>(i)]},
                                   m_now);
       }
       const LoggedRate claim{*flight.offset, flight.record};
-      home->home->ledger().Take(claim, m_now);
-      home->home->Granted(claim, sent, m_now);
+      home->home->ledger().Apply(claim, m_now);
+      home->home->OnGranted(claim, sent, m_now);
     }
     home->next = *flight.offset + 1;
     home->last = *flight.offset;
@@ -169,17 +169,17 @@
       ask.want = Pick(1, 12);
       for (const auto& unused : m_unused) ask.unused.push_back(unused);
       m_unused.clear();
-      home->question = home->home->Enter(ask, m_now);
+      home->question = home->home->Submit(ask, m_now);
     }
     if (home->question) {
-      const auto answer = home->home->Answer(*home->question, m_now);
+      const auto answer = home->home->TryRespond(*home->question, m_now);
       if (answer) {
         home->question.reset();
         Use(*answer);
       }
     }
     if (home->waiting) return;
-    auto entries = Pick(0, 9) == 0 ? home->home->NextReturns(m_now)
+    auto entries = Pick(0, 9) == 0 ? home->home->NextReleases(m_now)
                                    : home->home->NextClaim(10, m_now);
     if (entries.empty()) return;
     Send(home,
@@ -223,9 +223,9 @@
   // Asks, and claims until there is an answer.
   RateAnswer Ask(RateAsk ask) {
     ask.workspace = kWorkspace;
-    const auto entered = home.Enter(ask, now);
+    const auto entered = home.Submit(ask, now);
     for (;;) {
-      if (const auto answer = home.Answer(entered, now)) return *answer;
+      if (const auto answer = home.TryRespond(entered, now)) return *answer;
       Claim();
     }
   }
@@ -235,7 +235,7 @@
       if (at_hand.Take(now)) continue;
       RateAsk ask;
       ask.want = tokens - taken;
-      for (const auto& ended : at_hand.TakeEnded(now)) {
+      for (const auto& ended : at_hand.TakeExpired(now)) {
         ask.unused.push_back({kWorkspace, -ended.tokens, ended.origin});
       }
       const RateAnswer answer = Ask(ask);
@@ -248,23 +248,23 @@
   void TellUnused() {
     RateAsk ask;
     ask.workspace = kWorkspace;
-    for (const auto& ended : at_hand.TakeEnded(now)) {
+    for (const auto& ended : at_hand.TakeExpired(now)) {
       ask.unused.push_back({kWorkspace, -ended.tokens, ended.origin});
     }
-    home.Enter(ask, now);
+    home.Submit(ask, now);
   }
   void Claim() { Append(home.NextClaim(10, now)); }
   void Append(std::vector<workspaces::RateEntry> entries) {
     if (entries.empty()) return;
     const LoggedRate claim{m_offset, {"n", m_offset - 1, now, now, entries}};
     ++m_offset;
-    home.ledger().Take(claim, now);
-    home.Granted(claim, now, now);
+    home.ledger().Apply(claim, now);
+    home.OnGranted(claim, now, now);
   }
   void Pass(Duration time) {
     now += time;
     home.Sweep(now);
-    Append(home.NextReturns(now));
+    Append(home.NextReleases(now));
   }
 
  private:
@@ -336,7 +336,7 @@
     d.TellUnused();
   }
   const double used = workspaces::Allowance(d.m_limit, kWindow) -
-                      d.home.ledger().Left(kWorkspace, d.now);
+                      d.home.ledger().Remaining(kWorkspace, d.now);
   cr_assert_eq(used, 80.0, "%f", used);
 }
 
@@ -349,16 +349,16 @@
       },
       kWindow);
   ledger.Begin({}, 0);
-  const double all = ledger.Left(kWorkspace, 0);
-  ledger.Take({0, Record("a", -1, 0, 0, 10)}, 0);
-  ledger.Take({1, {"b", -1, 0, 0, {{kWorkspace, -10, 0}}}}, 0);  // not b's
-  cr_assert_eq(ledger.Left(kWorkspace, 0), all - 10);
-  ledger.Take({2, {"a", 0, 0, 0, {{kWorkspace, -30, 0}}}}, 0);
-  cr_assert_eq(ledger.Left(kWorkspace, 0), all);
-  ledger.Take({3, Record("a", 2, 0, 0, 7)}, 0);
-  ledger.Take({4, {"a", 3, 0, 0, {{kWorkspace, -7, 2}}}},
+  const double all = ledger.Remaining(kWorkspace, 0);
+  ledger.Apply({0, Record("a", -1, 0, 0, 10)}, 0);
+  ledger.Apply({1, {"b", -1, 0, 0, {{kWorkspace, -10, 0}}}}, 0);  // not b's
+  cr_assert_eq(ledger.Remaining(kWorkspace, 0), all - 10);
+  ledger.Apply({2, {"a", 0, 0, 0, {{kWorkspace, -30, 0}}}}, 0);
+  cr_assert_eq(ledger.Remaining(kWorkspace, 0), all);
+  ledger.Apply({3, Record("a", 2, 0, 0, 7)}, 0);
+  ledger.Apply({4, {"a", 3, 0, 0, {{kWorkspace, -7, 2}}}},
               0);  // an older origin
-  cr_assert_eq(ledger.Left(kWorkspace, 0), all - 7);
+  cr_assert_eq(ledger.Remaining(kWorkspace, 0), all - 7);
 }
 
 Test(RateLimits, LimitLowered_BindsAtOnce) {
@@ -394,7 +394,7 @@
       kWindow);
   ledger.Begin(claims, 0);
   const double used =
-      workspaces::Allowance({100, 100}, kWindow) - ledger.Left(kWorkspace, 0);
+      workspaces::Allowance({100, 100}, kWindow) - ledger.Remaining(kWorkspace, 0);
   cr_assert_leq(used, static_cast<double>(ledger.Span()) / 20 + 3);
 }
 
@@ -489,7 +489,7 @@
         program.steps = -1;
       } else {
         program.known = true;
-        program.next = d.now + std::max<Duration>(25, answer.retry);
+        program.next = d.now + std::max<Duration>(25, answer.retry_delay);
       }
     }
     std::erase_if(programs, [&ended](const Program& program) {
@@ -510,7 +510,7 @@
 // asked for, so a program begins all the same, and goes on at the limit's pace.
 Test(RateLimits, LimitSmallerThanOneProgram_AProgramBeginsAndGoesOn) {
   constexpr RateWindow            kExact{5000, 0, 0};
-  workspaces::RateLedger::LimitOf limit_of = [](const std::string&) {
+  workspaces::RateLedger::LimitLookup limit_of = [](const std::string&) {
     return std::optional(RateLimit{1, 0});
   };
   RateHome home(limit_of, kExact);
@@ -518,9 +518,9 @@
   RateAsk ask;
   ask.workspace = kWorkspace;
   ask.waiting = {17};
-  const auto entered = home.Enter(ask, 0);
+  const auto entered = home.Submit(ask, 0);
   cr_assert_eq(entered.may_go_on.size(), 1);
-  cr_assert_not(entered.turned_away);
+  cr_assert_not(entered.refused);
 }
 
 }  // namespace yuccawick::tests
--- a/tests/turn_limit_test.cc
+++ b/tests/turn_limit_test.cc
@@ -125,7 +125,7 @@
     Program&       program = m_programs[number];
     const Duration left = kAim - (m_now - program.began);
     program.at_gate =
-        GateOf(number).Enter("llm", traffic::PlaceOf(program.id, 0, left),
+        GateOf(number).Enqueue("llm", traffic::PlaceOf(program.id, 0, left),
                              kObjective, [this, number] { Send(number); });
   }
 
@@ -164,7 +164,7 @@
 
   void EndTurn(std::size_t number) {
     Program& program = m_programs[number];
-    if (m_gates_on) GateOf(number).Leave(&program.at_gate);
+    if (m_gates_on) GateOf(number).Release(&program.at_gate);
     if (++program.turns == kTurnsOfProgram) {
       program.ended = m_now;
       return;
@@ -295,7 +295,7 @@
   for (const int took : {50, 600}) {
     const std::size_t first = sent.size();
     for (int i = 0; i < 8; ++i)
-      sent.push_back(gate.Enter("llm", 0, 120, [] {}));
+      sent.push_back(gate.Enqueue("llm", 0, 120, [] {}));
     now += took;
     loop.RunOnce(0);
     for (std::size_t i = first; i < sent.size(); ++i) gate.FirstEvent(sent[i]);
@@ -303,22 +303,22 @@
   cr_assert_eq(gate.waiting(), 0);
   std::vector<char> went;
   TurnGate::Id      b =
-      gate.Enter("llm", 0.5, 120, [&went] { went.push_back('b'); });
+      gate.Enqueue("llm", 0.5, 120, [&went] { went.push_back('b'); });
   TurnGate::Id c =
-      gate.Enter("llm", 0.9, 120, [&went] { went.push_back('c'); });
+      gate.Enqueue("llm", 0.9, 120, [&went] { went.push_back('c'); });
   TurnGate::Id a =
-      gate.Enter("llm", 0.1, 120, [&went] { went.push_back('a'); });
+      gate.Enqueue("llm", 0.1, 120, [&went] { went.push_back('a'); });
   cr_assert(went.empty());
   cr_assert_eq(gate.waiting(), 3);
-  gate.Leave(&b);
+  gate.Release(&b);
   cr_assert_eq(gate.waiting(), 2);
-  for (TurnGate::Id& id : sent) gate.Leave(&id);
+  for (TurnGate::Id& id : sent) gate.Release(&id);
   loop.RunOnce(0);
   cr_assert_eq(went.size(), 2);
   cr_assert_eq(went[0], 'a');
   cr_assert_eq(went[1], 'c');
-  gate.Leave(&a);
-  gate.Leave(&c);
+  gate.Release(&a);
+  gate.Release(&c);
 }
 
 }  // namespace yuccawick::tests
