--- a/bench/overload_run.cc
+++ b/bench/overload_run.cc
@@ -133,12 +133,12 @@
   Homes(const OverloadSettings& settings, Time now) {
     for (int i = 0; i < kHomes; ++i) {
       m_shares.push_back(MakeShare(settings.door));
-      m_rooms.push_back(std::make_unique<admission::ProgramRoom>(
+      m_rooms.push_back(std::make_unique<admission::AdmissionController>(
           &m_settings, m_shares.back().get(), now));
     }
   }
 
-  admission::ProgramRoom& Of(std::size_t program) {
+  admission::AdmissionController& Of(std::size_t program) {
     return *m_rooms[program % kHomes];
   }
 
@@ -161,15 +161,15 @@
   }
 
  private:
-  static std::unique_ptr<fairness::BeginShare> MakeShare(Door door) {
-    if (door != Door::kShares) return std::make_unique<fairness::EqualShare>();
-    return std::make_unique<fairness::FairBegin>(
-        fairness::FairBeginSettings{}, [](const std::string&) { return 0; });
+  static std::unique_ptr<fairness::FairnessPolicy> MakeShare(Door door) {
+    if (door != Door::kShares) return std::make_unique<fairness::FirstComePolicy>();
+    return std::make_unique<fairness::FairSharePolicy>(
+        fairness::FairShareSettings{}, [](const std::string&) { return 0; });
   }
 
   admission::AdmissionSettings                         m_settings;
-  std::vector<std::unique_ptr<fairness::BeginShare>>   m_shares;
-  std::vector<std::unique_ptr<admission::ProgramRoom>> m_rooms;
+  std::vector<std::unique_ptr<fairness::FairnessPolicy>>   m_shares;
+  std::vector<std::unique_ptr<admission::AdmissionController>> m_rooms;
 };
 
 // The nodes' pictures of the servers: own turns now, others' as last told.
@@ -281,12 +281,12 @@
     return false;
   }
 
-  admission::TurnAsk AskOf(std::size_t i) const {
+  admission::AdmissionRequest AskOf(std::size_t i) const {
     const OverloadProgram& program = m_result.programs[i];
     const Client&          client = m_clients[i];
     const RouteShape&      route = kRoutes[program.route];
     const PlannedTurn&     turn = program.turns[client.turn];
-    admission::TurnAsk     ask;
+    admission::AdmissionRequest     ask;
     ask.program = "program-" + std::to_string(i);
     ask.service = "llm";
     ask.route = route.name;
@@ -300,7 +300,7 @@
     return ask;
   }
 
-  static capacity::ServiceRoom AllRoom() {
+  static capacity::ServiceCapacity AllRoom() {
     const ModelServerParameters server;
     return {kOverloadServers,
             static_cast<double>(kOverloadServers * server.slots),
--- a/bench/overload_run.h
+++ b/bench/overload_run.h
@@ -1,5 +1,5 @@
 // Programs of two routes before model servers that they can overload: the real
-// ProgramRoom, BeginShare and Placement at several homes and nodes that hear of
+// AdmissionController, FairnessPolicy and Placement at several homes and nodes that hear of
 // each other now and then, on a manual clock.
 //
 // A client that is refused comes back once, after the time that it was told.
--- a/src/yuccawick/admission/program_room.cc
+++ b/src/yuccawick/admission/program_room.cc
@@ -25,21 +25,21 @@
 
 }  // namespace
 
-RoomUse& RoomUse::operator+=(const RoomUse& other) {
+CapacityUsage& CapacityUsage::operator+=(const CapacityUsage& other) {
   programs += other.programs;
   slots += other.slots;
   memory += other.memory;
   return *this;
 }
 
-ProgramRoom::ProgramRoom(const AdmissionSettings* settings,
-                         fairness::BeginShare* share, Time started)
+AdmissionController::AdmissionController(const AdmissionSettings* settings,
+                         fairness::FairnessPolicy* share, Time started)
     : m_settings(settings), m_share(share), m_started(started) {}
 
 // Asking ---------------------------------------------------------------------
 
-RoomAnswer ProgramRoom::TryAdmit(const TurnAsk&               ask,
-                            const capacity::ServiceRoom& room, Time now) {
+AdmissionDecision AdmissionController::TryAdmit(const AdmissionRequest&               ask,
+                            const capacity::ServiceCapacity& room, Time now) {
   const auto known = m_programs.find(ask.program);
   if (known != m_programs.end()) {
     AddTurn(&known->second, ask, now);
@@ -47,7 +47,7 @@
   }
   const bool counts = m_settings->slot_overcommit > 0 && room.known();
   if (counts && !ask.under_way) {
-    const ReturnList::Entry* sent_away = m_returns.Find(ask.program);
+    const RetryList::Entry* sent_away = m_returns.Find(ask.program);
     const auto               slack = SlackOf(ask, sent_away);
     const bool               late = slack && *slack <= 0;
     if (!Fits(ask, slack, sent_away != nullptr, room, now)) {
@@ -65,8 +65,8 @@
 
 // Programs state a time that suits what they are going to do, so a long one is
 // not late for being long, only for having waited.
-std::optional<Duration> ProgramRoom::SlackOf(
-    const TurnAsk& ask, const ReturnList::Entry* sent_away) {
+std::optional<Duration> AdmissionController::SlackOf(
+    const AdmissionRequest& ask, const RetryList::Entry* sent_away) {
   if (!ask.left) return std::nullopt;
   const Duration stated =
       sent_away == nullptr ? *ask.left : sent_away->stated.value_or(*ask.left);
@@ -75,7 +75,7 @@
 
 // With more turns under way each takes longer: a program may begin while it
 // would still be in time, in the part of its time that it does not need.
-double ProgramRoom::MostPlaces(const TurnAsk& ask, bool late) {
+double AdmissionController::MostPlaces(const AdmissionRequest& ask, bool late) {
   if (!ask.left || late) return m_settings->slot_overcommit;
   // What is learned while servers are overloaded is more than programs need.
   const double needs =
@@ -83,11 +83,11 @@
   return m_settings->slot_overcommit / needs;
 }
 
-bool ProgramRoom::Fits(const TurnAsk& ask, std::optional<Duration> slack,
-                       bool returns, const capacity::ServiceRoom& room,
+bool AdmissionController::Fits(const AdmissionRequest& ask, std::optional<Duration> slack,
+                       bool returns, const capacity::ServiceCapacity& room,
                        Time now) {
   const bool late = slack && *slack <= 0;
-  RoomUse    use = TotalUse(now);
+  CapacityUsage    use = TotalUse(now);
   use.slots += 1;
   use.memory += LikelyTokens(ask);
   const auto memory = static_cast<double>(use.memory);
@@ -112,7 +112,7 @@
 // to ask twice more before that is over; it goes before those that can't. A
 // client has few tries: each refusal doubles the time to the next one, or all
 // would be used up before the shortest burst is over.
-Duration ProgramRoom::RetryAfter(std::optional<Duration> slack, int refusals,
+Duration AdmissionController::RetryAfter(std::optional<Duration> slack, int refusals,
                                  Time now) const {
   constexpr int kMostDoublings = 4;
   const bool    late = slack && *slack <= 0;
@@ -127,14 +127,14 @@
                     std::max(least, most));
 }
 
-Duration ProgramRoom::RetryDelay(const std::string& program, Time now) const {
-  const ReturnList::Entry* entry = m_returns.Find(program);
+Duration AdmissionController::RetryDelay(const std::string& program, Time now) const {
+  const RetryList::Entry* entry = m_returns.Find(program);
   if (entry == nullptr) return m_settings->min_retry_delay;
   return std::max((entry->from + entry->until) / 2 - now,
                   m_settings->min_retry_delay);
 }
 
-RouteProfile& ProgramRoom::ProfileOf(const std::string& route) {
+RouteProfile& AdmissionController::ProfileOf(const std::string& route) {
   const auto found = m_profiles.find(route);
   if (found != m_profiles.end()) return found->second;
   if (m_profiles.size() >= kMostRoutes) m_profiles.erase(m_profiles.begin());
@@ -142,16 +142,16 @@
       .first->second;
 }
 
-Tokens ProgramRoom::LikelyTokens(const TurnAsk& ask) {
+Tokens AdmissionController::LikelyTokens(const AdmissionRequest& ask) {
   return std::max(ask.prompt_tokens + ask.max_tokens,
                   ProfileOf(ask.route).EndTokens());
 }
 
-int ProgramRoom::TakeRefusedCount() { return std::exchange(m_refused, 0); }
+int AdmissionController::TakeRefusedCount() { return std::exchange(m_refused, 0); }
 
 // Turns ----------------------------------------------------------------------
 
-void ProgramRoom::Begin(const TurnAsk& ask, Time now) {
+void AdmissionController::Begin(const AdmissionRequest& ask, Time now) {
   Program& program = m_programs[ask.program];
   program.partition = ask.partition;
   program.route = ask.route;
@@ -163,7 +163,7 @@
   m_begun += {1, 1, program.held};
 }
 
-void ProgramRoom::AddTurn(Program* program, const TurnAsk& ask, Time now) {
+void AdmissionController::AddTurn(Program* program, const AdmissionRequest& ask, Time now) {
   if (program->turns == 0 && program->changed < now) {
     ProfileOf(program->route).ObserveThinkTime(now - program->changed);
   }
@@ -175,7 +175,7 @@
   Hold(program);
 }
 
-void ProgramRoom::OnTurnEnded(const TurnAsk& ask, Tokens used, Time now) {
+void AdmissionController::OnTurnEnded(const AdmissionRequest& ask, Tokens used, Time now) {
   const auto found = m_programs.find(ask.program);
   if (found == m_programs.end() || found->second.turns == 0) return;
   Program& program = found->second;
@@ -185,13 +185,13 @@
   Hold(&program);
 }
 
-void ProgramRoom::CancelAdmission(const TurnAsk& ask, Time now) {
+void AdmissionController::CancelAdmission(const AdmissionRequest& ask, Time now) {
   const auto found = m_programs.find(ask.program);
   if (found == m_programs.end() || found->second.turns == 0) return;
   EndTurn(&found->second, now);
 }
 
-void ProgramRoom::EndTurn(Program* program, Time now) {
+void AdmissionController::EndTurn(Program* program, Time now) {
   program->work += program->turns * static_cast<double>(now - program->changed);
   program->changed = now;
   --program->turns;
@@ -200,7 +200,7 @@
 
 // Programs -------------------------------------------------------------------
 
-void ProgramRoom::Hold(Program* program) {
+void AdmissionController::Hold(Program* program) {
   if (!program->counted) {
     program->counted = true;
     ++m_own[program->partition].programs;
@@ -211,23 +211,23 @@
   program->held = held;
 }
 
-void ProgramRoom::Release(Program* program) {
+void AdmissionController::Release(Program* program) {
   program->counted = false;
-  RoomUse& use = m_own[program->partition];
+  CapacityUsage& use = m_own[program->partition];
   --use.programs;
   use.memory -= std::exchange(program->held, 0);
   ProfileOf(program->route)
-      .NoteEnd(program->tokens, program->changed - program->began,
+      .ObserveEnd(program->tokens, program->changed - program->began,
                program->stated);
 }
 
-Duration ProgramRoom::LongestSilence(const Program& program) {
+Duration AdmissionController::LongestSilence(const Program& program) {
   return static_cast<Duration>(
       m_settings->think_time_factor *
       static_cast<double>(ProfileOf(program.route).MaxThinkTime()));
 }
 
-void ProgramRoom::Sweep(Time now) {
+void AdmissionController::Sweep(Time now) {
   int ended = 0;
   for (auto& [name, program] : m_programs) {
     const Duration unchanged = now - program.changed;
@@ -244,7 +244,7 @@
     // After a lull the gap says nothing of the rate when there is no room.
     const Duration since = std::min(now - m_ended_at, m_settings->max_retry_delay);
     const auto     gap = static_cast<double>(since) / ended;
-    for (int i = 0; i < ended; ++i) m_end_gap.Note(gap);
+    for (int i = 0; i < ended; ++i) m_end_gap.Observe(gap);
     m_ended_at = now;
   }
   std::erase_if(m_programs, [now](const auto& each) {
@@ -256,26 +256,26 @@
 
 // Other homes ----------------------------------------------------------------
 
-RoomUse ProgramRoom::LocalUsage() const {
-  RoomUse own;
+CapacityUsage AdmissionController::LocalUsage() const {
+  CapacityUsage own;
   for (const auto& [partition, use] : m_own) own += use;
   return own;
 }
 
-void ProgramRoom::SetPeerUsage(const std::string& home, const PartitionUses& uses,
+void AdmissionController::SetPeerUsage(const std::string& home, const UsageByPartition& uses,
                            Time now) {
   m_homes[home] = {uses, now, m_begun};
 }
 
-RoomUse ProgramRoom::TotalUse(Time now) const {
-  PartitionUses parts = m_own;
-  RoomUse       total;
+CapacityUsage AdmissionController::TotalUse(Time now) const {
+  UsageByPartition parts = m_own;
+  CapacityUsage       total;
   for (const auto& [name, home] : m_homes) {
     if (now - home.heard > m_settings->usage_report_ttl) continue;
     for (const auto& [partition, use] : home.uses) {
       // A turn is counted by the home that let it in; a program by each home
       // that one of its turns came to.
-      RoomUse& part = parts[partition];
+      CapacityUsage& part = parts[partition];
       part.programs = std::max(part.programs, use.programs);
       part.slots += use.slots;
       part.memory = std::max(part.memory, use.memory);
--- a/src/yuccawick/admission/program_room.h
+++ b/src/yuccawick/admission/program_room.h
@@ -14,7 +14,7 @@
 // else it is refused before any turn is wasted, and told when to come back.
 // Turns of programs under way are never refused here.
 //
-// One ProgramRoom counts the programs of one service that one home counts the
+// One AdmissionController counts the programs of one service that one home counts the
 // tokens of (gateway/token_desk.h); homes tell each other what theirs take. All
 // of it is soft state: a home that starts anew learns of the programs under way
 // by their next turns.
@@ -71,7 +71,7 @@
   Duration usage_report_ttl = 700;
 };
 
-struct TurnAsk {
+struct AdmissionRequest {
   std::string             program;
   std::string             service;        // empty: wants no room
   int                     partition = 0;  // of programs, that it belongs to
@@ -85,41 +85,41 @@
 };
 
 // What programs take of a service.
-struct RoomUse {
+struct CapacityUsage {
   int    programs = 0;
   double slots = 0;  // turns under way
   Tokens memory = 0;
 
-  bool     operator==(const RoomUse&) const = default;
-  RoomUse& operator+=(const RoomUse& other);
+  bool     operator==(const CapacityUsage&) const = default;
+  CapacityUsage& operator+=(const CapacityUsage& other);
 };
-using PartitionUses = std::map<int, RoomUse>;  // by partition
+using UsageByPartition = std::map<int, CapacityUsage>;  // by partition
 
-struct RoomAnswer {
+struct AdmissionDecision {
   bool     admitted = true;
   Duration retry_delay = 0;  // ms until there will be room; spread by the caller
 };
 
-class ProgramRoom {
+class AdmissionController {
  public:
-  ProgramRoom(const AdmissionSettings* settings, fairness::BeginShare* share,
+  AdmissionController(const AdmissionSettings* settings, fairness::FairnessPolicy* share,
               Time started);
 
-  RoomAnswer TryAdmit(const TurnAsk& ask, const capacity::ServiceRoom& room,
+  AdmissionDecision TryAdmit(const AdmissionRequest& ask, const capacity::ServiceCapacity& room,
                  Time now);
   // `used`: tokens that the turn generated.
-  void       OnTurnEnded(const TurnAsk& ask, Tokens used, Time now);
-  void       CancelAdmission(const TurnAsk& ask, Time now);
+  void       OnTurnEnded(const AdmissionRequest& ask, Tokens used, Time now);
+  void       CancelAdmission(const AdmissionRequest& ask, Time now);
   // Until a program that was refused should come back, in ms.
   Duration   RetryDelay(const std::string& program, Time now) const;
   void       Sweep(Time now);
 
-  const PartitionUses& LocalUsageByPartition() const { return m_own; }
-  RoomUse              LocalUsage() const;
-  void SetPeerUsage(const std::string& home, const PartitionUses& uses, Time now);
+  const UsageByPartition& LocalUsageByPartition() const { return m_own; }
+  CapacityUsage              LocalUsage() const;
+  void SetPeerUsage(const std::string& home, const UsageByPartition& uses, Time now);
   // Of all homes, as far as known. Programs whose partition moves from one home
   // to another, or has two while nodes are cut off, are seen by both.
-  RoomUse TotalUse(Time now) const;
+  CapacityUsage TotalUse(Time now) const;
   // Refused since the last call.
   int     TakeRefusedCount();
   bool    empty() const { return m_programs.empty(); }
@@ -139,37 +139,37 @@
     bool        counted = false;
   };
   struct Home {
-    PartitionUses uses;
+    UsageByPartition uses;
     Time          heard = 0;
-    RoomUse       begun_before;  // here, when it was heard
+    CapacityUsage       begun_before;  // here, when it was heard
   };
 
-  double   MostPlaces(const TurnAsk& ask, bool late);
-  bool     Fits(const TurnAsk& ask, std::optional<Duration> slack, bool returns,
-                const capacity::ServiceRoom& room, Time now);
+  double   MostPlaces(const AdmissionRequest& ask, bool late);
+  bool     Fits(const AdmissionRequest& ask, std::optional<Duration> slack, bool returns,
+                const capacity::ServiceCapacity& room, Time now);
   // `refusals`: those before this one.
   Duration RetryAfter(std::optional<Duration> slack, int refusals,
                       Time now) const;
   // What it may still wait and be in time; nothing: it has no time to keep.
-  std::optional<Duration> SlackOf(const TurnAsk&           ask,
-                                  const ReturnList::Entry* sent_away);
+  std::optional<Duration> SlackOf(const AdmissionRequest&           ask,
+                                  const RetryList::Entry* sent_away);
   RouteProfile&           ProfileOf(const std::string& route);
-  Tokens                  LikelyTokens(const TurnAsk& ask);
-  void                    Begin(const TurnAsk& ask, Time now);
-  void     AddTurn(Program* program, const TurnAsk& ask, Time now);
+  Tokens                  LikelyTokens(const AdmissionRequest& ask);
+  void                    Begin(const AdmissionRequest& ask, Time now);
+  void     AddTurn(Program* program, const AdmissionRequest& ask, Time now);
   void     EndTurn(Program* program, Time now);
   void     Hold(Program* program);
   void     Release(Program* program);
   Duration LongestSilence(const Program& program);
 
   const AdmissionSettings*                 m_settings;
-  fairness::BeginShare*                    m_share;
+  fairness::FairnessPolicy*                    m_share;
   Time                                     m_started;
   std::unordered_map<std::string, Program> m_programs;  // by name
-  ReturnList                               m_returns;
+  RetryList                               m_returns;
   std::map<std::string, RouteProfile>      m_profiles;  // by route
-  PartitionUses                            m_own;
-  RoomUse                                  m_begun;  // here, since the start
+  UsageByPartition                            m_own;
+  CapacityUsage                                  m_begun;  // here, since the start
   std::map<std::string, Home>              m_homes;  // the other ones, by node
   RunningMean m_end_gap;  // ms between two programs' ends
   Time        m_ended_at = 0;
--- a/src/yuccawick/admission/return_list.cc
+++ b/src/yuccawick/admission/return_list.cc
@@ -20,12 +20,12 @@
 
 }  // namespace
 
-const ReturnList::Entry* ReturnList::Find(const std::string& program) const {
+const RetryList::Entry* RetryList::Find(const std::string& program) const {
   const auto found = m_entries.find(program);
   return found == m_entries.end() ? nullptr : &found->second;
 }
 
-void ReturnList::Put(const std::string& program, std::optional<Duration> left,
+void RetryList::Put(const std::string& program, std::optional<Duration> left,
                      bool late, Duration retry, Time now) {
   if (m_entries.size() >= kMost && !m_entries.contains(program)) {
     m_entries.erase(std::min_element(m_entries.begin(), m_entries.end(),
@@ -41,18 +41,18 @@
   entry->second.until = now + Part(retry, kLatest) + kWay;
 }
 
-void ReturnList::Remove(const std::string& program) {
+void RetryList::Remove(const std::string& program) {
   m_entries.erase(program);
 }
 
-std::size_t ReturnList::CountAhead(bool late, Time now) const {
+std::size_t RetryList::CountAhead(bool late, Time now) const {
   return static_cast<std::size_t>(
       std::count_if(m_entries.begin(), m_entries.end(), [&](const auto& each) {
         return each.second.until > now && (late || !each.second.late);
       }));
 }
 
-std::size_t ReturnList::CountDue(Time now) const {
+std::size_t RetryList::CountDue(Time now) const {
   return static_cast<std::size_t>(
       std::count_if(m_entries.begin(), m_entries.end(), [&](const auto& each) {
         const Entry& entry = each.second;
@@ -60,7 +60,7 @@
       }));
 }
 
-void ReturnList::Sweep(Time now) {
+void RetryList::Sweep(Time now) {
   std::erase_if(m_entries, [now](const auto& each) {
     return now - each.second.until > kMemory;
   });
--- a/src/yuccawick/admission/return_list.h
+++ b/src/yuccawick/admission/return_list.h
@@ -18,7 +18,7 @@
 using net::Duration;
 using net::Time;
 
-class ReturnList {
+class RetryList {
  public:
   struct Entry {
     Time                    first = 0;  // asked
--- a/src/yuccawick/admission/route_profile.cc
+++ b/src/yuccawick/admission/route_profile.cc
@@ -17,12 +17,12 @@
 
 }  // namespace
 
-void RunningMean::Note(double value) {
+void RunningMean::Observe(double value) {
   m_count = std::min(m_count + 1, kMemory);
   m_value += (value - m_value) / m_count;
 }
 
-void RunningQuantile::Note(double value) {
+void RunningQuantile::Observe(double value) {
   m_value *= value > m_value ? std::exp(kStep * m_part)
                              : std::exp(-kStep * (1 - m_part));
 }
@@ -31,15 +31,15 @@
     : m_silence(kSilencePart, static_cast<double>(silence)),
       m_time_share(kTimePart, kFirstTimeShare) {}
 
-void RouteProfile::NoteEnd(Tokens tokens, Duration took, Duration stated) {
-  m_end_tokens.Note(static_cast<double>(tokens));
+void RouteProfile::ObserveEnd(Tokens tokens, Duration took, Duration stated) {
+  m_end_tokens.Observe(static_cast<double>(tokens));
   if (stated > 0) {
-    m_time_share.Note(static_cast<double>(took) / static_cast<double>(stated));
+    m_time_share.Observe(static_cast<double>(took) / static_cast<double>(stated));
   }
 }
 
 void RouteProfile::ObserveThinkTime(Duration silence) {
-  m_silence.Note(static_cast<double>(std::max<Duration>(1, silence)));
+  m_silence.Observe(static_cast<double>(std::max<Duration>(1, silence)));
 }
 
 Tokens RouteProfile::EndTokens() const {
--- a/src/yuccawick/admission/route_profile.h
+++ b/src/yuccawick/admission/route_profile.h
@@ -16,7 +16,7 @@
 
 class RunningMean {
  public:
-  void   Note(double value);
+  void   Observe(double value);
   bool   empty() const { return m_count == 0; }
   double value() const { return m_value; }
 
@@ -30,7 +30,7 @@
 class RunningQuantile {
  public:
   RunningQuantile(double part, double first) : m_part(part), m_value(first) {}
-  void   Note(double value);
+  void   Observe(double value);
   double value() const { return m_value; }
 
  private:
@@ -45,7 +45,7 @@
 
   // A program ended with so many tokens after `took`; `stated`: the time that
   // it said at its first turn that it has, 0 if it said none.
-  void NoteEnd(Tokens tokens, Duration took, Duration stated);
+  void ObserveEnd(Tokens tokens, Duration took, Duration stated);
   void ObserveThinkTime(Duration silence);
 
   // Tokens of a program at its end, on average; 0: none was seen yet.
--- a/src/yuccawick/capacity/server_pace.cc
+++ b/src/yuccawick/capacity/server_pace.cc
@@ -35,17 +35,17 @@
   weight += value_weight;
 }
 
-void ServerPace::Observe(const SlowdownEstimate& seen, Time now) {
+void ServerSlowdown::Observe(const SlowdownEstimate& seen, Time now) {
   Add(seen, now);
   m_untold.Add(std::log(seen.factor), seen.samples);
 }
 
-void ServerPace::MergePeer(const SlowdownEstimate& seen, Time now) {
+void ServerSlowdown::MergePeer(const SlowdownEstimate& seen, Time now) {
   if (!(seen.samples > 0 && seen.factor > 0)) return;
   Add({seen.factor, std::min(seen.samples, m_settings.max_samples)}, now);
 }
 
-void ServerPace::Add(const SlowdownEstimate& seen, Time now) {
+void ServerSlowdown::Add(const SlowdownEstimate& seen, Time now) {
   const double value = std::clamp(std::log(seen.factor), -kMostLog, kMostLog);
   const double off = value - m_lasting.Held(kLastingDoubt);
   m_lasting.Fade(std::pow(1.0 - 1.0 / m_settings.max_samples, seen.samples));
@@ -56,16 +56,16 @@
   m_spell_as_of = now;
 }
 
-double ServerPace::SpellKept(Time now) const {
+double ServerSlowdown::SpellKept(Time now) const {
   const auto age = static_cast<double>(now - m_spell_as_of);
   return std::exp2(-age / static_cast<double>(m_settings.transient_half_life));
 }
 
-SlowdownEstimate ServerPace::Lasting() const {
+SlowdownEstimate ServerSlowdown::Lasting() const {
   return {std::exp(m_lasting.Held(kLastingDoubt)), m_lasting.weight};
 }
 
-double ServerPace::At(Time now) const {
+double ServerSlowdown::At(Time now) const {
   LogMean spell = m_spell;
   spell.Fade(SpellKept(now));
   // Servers have no spells of fast work, only turns with little to read.
@@ -73,35 +73,35 @@
   return std::exp(m_lasting.Held(kLastingDoubt) + slower);
 }
 
-SlowdownEstimate ServerPace::Unsent() const {
+SlowdownEstimate ServerSlowdown::Unsent() const {
   if (m_untold.weight <= 0) return {};
   return {std::exp(m_untold.Held(0)), m_untold.weight};
 }
 
-SlowdownEstimate ServerPace::TakeUnsent() {
+SlowdownEstimate ServerSlowdown::TakeUnsent() {
   const SlowdownEstimate untold = Unsent();
   m_untold = {};
   return untold;
 }
 
-bool ServerPace::NeedsImmediateReport() const {
+bool ServerSlowdown::NeedsImmediateReport() const {
   return m_untold.weight > 0 &&
          std::abs(m_untold.Held(0) - m_lasting.Held(kLastingDoubt)) > kLn2;
 }
 
-void ServerPace::Rescale(double by) {
+void ServerSlowdown::Rescale(double by) {
   m_lasting.sum += std::log(by) * m_lasting.weight;
   m_untold.sum += std::log(by) * m_untold.weight;
 }
 
-bool ServerPace::UpdateSlow() {
+bool ServerSlowdown::UpdateSlow() {
   const double fast_again = std::min(m_settings.fast_again, m_settings.slow);
   const double limit = m_slow ? fast_again : m_settings.slow;
   const bool   slow = Lasting().factor >= limit;
   return std::exchange(m_slow, slow) != slow;
 }
 
-std::optional<SlowdownEstimate> PaceScale::Compare(std::string_view kind, double took,
+std::optional<SlowdownEstimate> SlowdownBaseline::Compare(std::string_view kind, double took,
                                        double pace, Time now) {
   constexpr double kShortest = 0.5;  // ms; the clock shows no less
   Usual&           usual = m_kinds[std::string(kind)];
@@ -121,9 +121,9 @@
   return SlowdownEstimate{std::exp(std::clamp(seen, -kMostLog, kMostLog)), counts};
 }
 
-void PaceScale::Recenter(const std::vector<ServerPace*>& servers) {
+void SlowdownBaseline::Recenter(const std::vector<ServerSlowdown*>& servers) {
   std::vector<double> paces;
-  for (const ServerPace* server : servers) {
+  for (const ServerSlowdown* server : servers) {
     const SlowdownEstimate lasting = server->Lasting();
     if (lasting.samples >= kSamplesEnough) paces.push_back(lasting.factor);
   }
@@ -131,11 +131,11 @@
   const auto middle =
       paces.begin() + static_cast<std::ptrdiff_t>((paces.size() - 1) / 2);
   std::nth_element(paces.begin(), middle, paces.end());
-  for (ServerPace* server : servers) server->Rescale(1.0 / *middle);
+  for (ServerSlowdown* server : servers) server->Rescale(1.0 / *middle);
   for (auto& [kind, usual] : m_kinds) usual.log_time += std::log(*middle);
 }
 
-void PaceScale::Forget(Time before) {
+void SlowdownBaseline::Forget(Time before) {
   std::erase_if(m_kinds, [before](const auto& entry) {
     return entry.second.used < before;
   });
--- a/src/yuccawick/capacity/server_pace.h
+++ b/src/yuccawick/capacity/server_pace.h
@@ -10,9 +10,9 @@
 // a server keeps, and of a spell, which is noticed within two or three events
 // and forgotten as fast.
 //
-//   PaceScale   of a service: turns the time that a piece of work took into a
+//   SlowdownBaseline   of a service: turns the time that a piece of work took into a
 //               pace, by what that kind of work usually takes
-//   ServerPace  of one start of a server: what was observed there
+//   ServerSlowdown  of one start of a server: what was observed there
 //
 //   if (auto seen = scale.Compare("events", 40, server.At(now), now))
 //     server.Observe(*seen, now);
@@ -37,7 +37,7 @@
   double samples = 0.0;  // observations that it rests on; older ones count less
 };
 
-struct PaceSettings {
+struct SlowdownSettings {
   double   max_samples = 200.0;  // observations that the lasting pace rests on
   Duration transient_half_life = 150;  // ms
   // A server is slow from the first on, until it is below the second.
@@ -55,9 +55,9 @@
   double Held(double doubt) const { return sum / (weight + doubt); }
 };
 
-class ServerPace {
+class ServerSlowdown {
  public:
-  explicit ServerPace(const PaceSettings& settings) : m_settings(settings) {}
+  explicit ServerSlowdown(const SlowdownSettings& settings) : m_settings(settings) {}
 
   // Seen here; to be told to neighbours.
   void   Observe(const SlowdownEstimate& seen, Time now);
@@ -83,7 +83,7 @@
   void   Add(const SlowdownEstimate& seen, Time now);
   double SpellKept(Time now) const;
 
-  PaceSettings m_settings;
+  SlowdownSettings m_settings;
   LogMean      m_lasting;
   LogMean      m_spell;  // against the lasting pace
   LogMean      m_untold;
@@ -91,7 +91,7 @@
   bool         m_slow = false;
 };
 
-class PaceScale {
+class SlowdownBaseline {
  public:
   // Pace that a piece of work of this kind shows, which took `took` ms at a
   // server of the given pace; nothing while too few were seen to compare with.
@@ -99,7 +99,7 @@
                               Time now);
   // Makes the median of these lasting paces 1. Observations of servers that
   // nothing is known of say nothing.
-  void                Recenter(const std::vector<ServerPace*>& servers);
+  void                Recenter(const std::vector<ServerSlowdown*>& servers);
   // Drops kinds of work that were not seen since then.
   void                Forget(Time before);
   std::size_t         kinds() const { return m_kinds.size(); }
--- a/src/yuccawick/capacity/service_room.h
+++ b/src/yuccawick/capacity/service_room.h
@@ -1,7 +1,7 @@
 // What the model servers of a service can hold together.
 //
 // The manifest says what one engine holds, discovery how many servers there
-// are, ServerPace how fast each is. Whoever lets programs onto the servers
+// are, ServerSlowdown how fast each is. Whoever lets programs onto the servers
 // reads only this.
 #pragma once
 
@@ -9,7 +9,7 @@
 
 namespace yuccawick::capacity {
 
-struct ServiceRoom {
+struct ServiceCapacity {
   int          servers = 0;  // listed, not leaving
   double       slots = 0;   // requests at once; a slow server's count less
   std::int64_t memory = 0;   // tokens, shared by runs and cached prompts
--- a/src/yuccawick/core/durability.h
+++ b/src/yuccawick/core/durability.h
@@ -1,4 +1,4 @@
-// Holding what a home has done safely before it says so.
+// MemoryCharge what a home has done safely before it says so.
 //
 // A delta is held once either
 //   - every assigned replica, each in another availability zone, has
--- a/src/yuccawick/fairness/begin_share.h
+++ b/src/yuccawick/fairness/begin_share.h
@@ -1,7 +1,7 @@
 // Who may begin while room is short.
 //
 // Room is the part of the model servers' places and memory that programs under
-// way take. A BeginShare says up to which part of it a program may begin: 1
+// way take. A FairnessPolicy says up to which part of it a program may begin: 1
 // lets it take the last place, 0.8 leaves a fifth to others. Programs under way
 // are never asked.
 #pragma once
@@ -16,7 +16,7 @@
 using net::Duration;
 using net::Time;
 
-struct Beginner {
+struct NewProgram {
   std::string workspace;  // empty: the deployment has none
   std::string route;
   int         priority = 0;  // 0 is first
@@ -24,35 +24,35 @@
 };
 
 // Turns of a workspace that ended, and the ms of places that they took.
-struct WorkCharge {
+struct UsageCharge {
   std::string workspace;
   double      work = 0;
   double      turns = 0;
 };
 
-class BeginShare {
+class FairnessPolicy {
  public:
-  virtual ~BeginShare() = default;
+  virtual ~FairnessPolicy() = default;
   // In (0, 1].
-  virtual double AdmissionThreshold(const Beginner& beginner, Time now) = 0;
+  virtual double AdmissionThreshold(const NewProgram& beginner, Time now) = 0;
   // A turn of the workspace took `work` ms of a place at a model server.
   virtual void Charge(const std::string& workspace, double work, Time now) = 0;
   // What was charged here since the last call, for the other homes; and what
   // another home charged.
-  virtual std::vector<WorkCharge> TakeUnsent() = 0;
-  virtual void MergePeer(const std::vector<WorkCharge>& charges, Time now) = 0;
+  virtual std::vector<UsageCharge> TakeUnsent() = 0;
+  virtual void MergePeer(const std::vector<UsageCharge>& charges, Time now) = 0;
 };
 
 // The baseline: first come, first served.
-class EqualShare final : public BeginShare {
+class FirstComePolicy final : public FairnessPolicy {
  public:
-  double AdmissionThreshold(const Beginner& /*beginner*/, Time /*now*/) override {
+  double AdmissionThreshold(const NewProgram& /*beginner*/, Time /*now*/) override {
     return 1.0;
   }
   void Charge(const std::string& /*workspace*/, double /*work*/,
               Time /*now*/) override {}
-  std::vector<WorkCharge> TakeUnsent() override { return {}; }
-  void MergePeer(const std::vector<WorkCharge>& /*charges*/, Time /*now*/) override {
+  std::vector<UsageCharge> TakeUnsent() override { return {}; }
+  void MergePeer(const std::vector<UsageCharge>& /*charges*/, Time /*now*/) override {
   }
 };
 
--- a/src/yuccawick/fairness/fair_begin.cc
+++ b/src/yuccawick/fairness/fair_begin.cc
@@ -15,10 +15,10 @@
 
 }  // namespace
 
-FairBegin::FairBegin(const FairBeginSettings& settings, PriorityOf priority_of)
+FairSharePolicy::FairSharePolicy(const FairShareSettings& settings, PriorityOf priority_of)
     : m_settings(settings), m_priority_of(std::move(priority_of)) {}
 
-double FairBegin::AdmissionThreshold(const Beginner& beginner, Time now) {
+double FairSharePolicy::AdmissionThreshold(const NewProgram& beginner, Time now) {
   double margin = UrgencyMargin(beginner.priority, now);
   if (beginner.late) margin += m_settings.late;
   if (IsOpen(now)) margin = 0;
@@ -27,19 +27,19 @@
   return std::max(1 - margin, kLeastShare);
 }
 
-void FairBegin::Charge(const std::string& workspace, double work, Time now) {
+void FairSharePolicy::Charge(const std::string& workspace, double work, Time now) {
   if (workspace.empty() || work <= 0) return;
-  const WorkCharge charge{workspace, work, 1};
+  const UsageCharge charge{workspace, work, 1};
   Add(charge, now);
   if (!m_uses.contains(workspace)) return;
-  WorkCharge& untold =
-      m_untold.try_emplace(workspace, WorkCharge{workspace}).first->second;
+  UsageCharge& untold =
+      m_untold.try_emplace(workspace, UsageCharge{workspace}).first->second;
   untold.work += charge.work;
   untold.turns += charge.turns;
 }
 
-std::vector<WorkCharge> FairBegin::TakeUnsent() {
-  std::vector<WorkCharge> charges;
+std::vector<UsageCharge> FairSharePolicy::TakeUnsent() {
+  std::vector<UsageCharge> charges;
   charges.reserve(m_untold.size());
   for (auto& [workspace, charge] : m_untold) {
     charges.push_back(std::move(charge));
@@ -48,8 +48,8 @@
   return charges;
 }
 
-void FairBegin::MergePeer(const std::vector<WorkCharge>& charges, Time now) {
-  for (const WorkCharge& charge : charges) {
+void FairSharePolicy::MergePeer(const std::vector<UsageCharge>& charges, Time now) {
+  for (const UsageCharge& charge : charges) {
     const bool sound =
         !charge.workspace.empty() && std::isfinite(charge.work) &&
         std::isfinite(charge.turns) && charge.work > 0 && charge.turns > 0;
@@ -57,7 +57,7 @@
   }
 }
 
-void FairBegin::Add(const WorkCharge& charge, Time now) {
+void FairSharePolicy::Add(const UsageCharge& charge, Time now) {
   if (now - m_origin >= m_settings.usage_half_life) Sweep(now);
   auto it = m_uses.find(charge.workspace);
   if (it == m_uses.end()) {
@@ -74,7 +74,7 @@
   m_turns += charge.turns * growth;
 }
 
-std::vector<FairBegin::WorkspaceUsage> FairBegin::TopWorkspaces(std::size_t most) const {
+std::vector<FairSharePolicy::WorkspaceUsage> FairSharePolicy::TopWorkspaces(std::size_t most) const {
   std::vector<WorkspaceUsage> users;
   users.reserve(m_uses.size());
   for (const auto& [workspace, use] : m_uses) {
@@ -90,12 +90,12 @@
   return users;
 }
 
-double FairBegin::Growth(Time now) const {
+double FairSharePolicy::Growth(Time now) const {
   return std::exp2(static_cast<double>(now - m_origin) /
                    static_cast<double>(m_settings.usage_half_life));
 }
 
-double FairBegin::UseMargin(const Use& use) const {
+double FairSharePolicy::UseMargin(const Use& use) const {
   const double others_weight = m_weight - use.weight;
   // Floating-point sums may leave a rest where the workspace is alone.
   if (m_uses.size() < 2 || others_weight <= 0) return 0;
@@ -105,7 +105,7 @@
   return std::clamp(m_settings.step * doublings, 0.0, m_settings.max_usage_margin);
 }
 
-double FairBegin::UrgencyMargin(int priority, Time now) {
+double FairSharePolicy::UrgencyMargin(int priority, Time now) {
   const auto last = static_cast<int>(m_asked.size()) - 1;
   const int  level = std::clamp(priority, 0, last);
   m_asked[static_cast<std::size_t>(level)] = now;
@@ -114,21 +114,21 @@
   return m_settings.urgency * (level - first);
 }
 
-bool FairBegin::HasAsked(int level, Time now) const {
+bool FairSharePolicy::HasAsked(int level, Time now) const {
   const auto& asked = m_asked[static_cast<std::size_t>(level)];
   return asked && now - *asked < m_settings.usage_half_life;
 }
 
-double FairBegin::WeightOf(const std::string& workspace) const {
+double FairSharePolicy::WeightOf(const std::string& workspace) const {
   return 1.0 / (1 + std::max(0, m_priority_of(workspace)));
 }
 
-bool FairBegin::IsOpen(Time now) const {
+bool FairSharePolicy::IsOpen(Time now) const {
   return static_cast<double>(now % m_settings.cycle) <
          m_settings.open * static_cast<double>(m_settings.cycle);
 }
 
-void FairBegin::Sweep(Time now) {
+void FairSharePolicy::Sweep(Time now) {
   const double fade = 1 / Growth(now);
   m_origin = now;
   m_turns *= fade;
--- a/src/yuccawick/fairness/fair_begin.h
+++ b/src/yuccawick/fairness/fair_begin.h
@@ -32,7 +32,7 @@
 namespace yuccawick::fairness {
 
 // Times in ms, margins as parts of the room.
-struct FairBeginSettings {
+struct FairShareSettings {
   // Half-life of use and of what is known of urgent routes.
   Duration     usage_half_life = 4000;
   // For each doubling of a workspace's use above the others' average. Turns
@@ -50,17 +50,17 @@
   std::int64_t workspaces = 16'384;  // counted at once
 };
 
-class FairBegin final : public BeginShare {
+class FairSharePolicy final : public FairnessPolicy {
  public:
   // 0 is first; weighs 1 / (1 + priority).
   using PriorityOf = std::function<int(const std::string& workspace)>;
 
-  FairBegin(const FairBeginSettings& settings, PriorityOf priority_of);
+  FairSharePolicy(const FairShareSettings& settings, PriorityOf priority_of);
 
-  double AdmissionThreshold(const Beginner& beginner, Time now) override;
+  double AdmissionThreshold(const NewProgram& beginner, Time now) override;
   void   Charge(const std::string& workspace, double work, Time now) override;
-  std::vector<WorkCharge> TakeUnsent() override;
-  void MergePeer(const std::vector<WorkCharge>& charges, Time now) override;
+  std::vector<UsageCharge> TakeUnsent() override;
+  void MergePeer(const std::vector<UsageCharge>& charges, Time now) override;
 
   struct WorkspaceUsage {
     std::string workspace;
@@ -76,7 +76,7 @@
     double work = 0;  // as of m_origin
     double weight = 1;
   };
-  void   Add(const WorkCharge& charge, Time now);
+  void   Add(const UsageCharge& charge, Time now);
   // What one unit of now counts for, as of m_origin.
   double Growth(Time now) const;
   double UseMargin(const Use& use) const;
@@ -87,7 +87,7 @@
   // Moves the origin to now and drops what has faded.
   void   Sweep(Time now);
 
-  FairBeginSettings                           m_settings;
+  FairShareSettings                           m_settings;
   PriorityOf                                  m_priority_of;
   std::unordered_map<std::string, Use>        m_uses;  // by workspace
   // Sums over m_uses, and the turns that were charged, fading alike.
@@ -95,7 +95,7 @@
   double                                      m_weight = 0;
   double                                      m_turns = 0;
   Time                                        m_origin = 0;
-  std::unordered_map<std::string, WorkCharge> m_untold;  // by workspace
+  std::unordered_map<std::string, UsageCharge> m_untold;  // by workspace
   // When each of the first priorities last asked.
   std::array<std::optional<Time>, 3>          m_asked;
 };
--- a/src/yuccawick/gateway/appender.cc
+++ b/src/yuccawick/gateway/appender.cc
@@ -76,7 +76,7 @@
 
 void Appender::Finish(const Result& result) {
   if (result) {
-    m_health->Note(true, "append");
+    m_health->Observe(true, "append");
     const Duration took = m_loop->now() - m_sent_at;
     m_usual = (kSmoothing * m_usual + took) / (kSmoothing + 1);
   } else if (result.error().failure == StoreFailure::kRefused) {
@@ -117,7 +117,7 @@
   // more often than one that is silent.
   const Duration pause =
       no_answer ? m_timeout - took : m_thresholds->log_away_pause;
-  if (waited_long || !no_answer) m_health->Note(false, "append");
+  if (waited_long || !no_answer) m_health->Observe(false, "append");
   m_timeout = std::min(2 * m_timeout, m_thresholds->log_timeout);
   DropUnwanted();
   m_loop->After(std::max<Duration>(0, pause), [this] { Send(); });
--- a/src/yuccawick/gateway/backends.cc
+++ b/src/yuccawick/gateway/backends.cc
@@ -54,7 +54,7 @@
 
 BackendConnection::~BackendConnection() { m_loop->Cancel(&m_connect_timer); }
 
-void BackendConnection::Send(BackendUser* user, std::string_view request) {
+void BackendConnection::Send(BackendHandler* user, std::string_view request) {
   m_user = user;
   m_ended = false;
   m_in_step = true;
@@ -136,9 +136,9 @@
                    : traffic::SendFailureCause::kNotConnected);
 }
 
-void BackendConnection::Lose(traffic::LossCause cause) {
+void BackendConnection::Lose(traffic::SendFailureCause cause) {
   m_stream.Close();
-  if (m_user != nullptr) m_user->OnBackendLost(cause);
+  if (m_user != nullptr) m_user->OnBackendFailed(cause);
 }
 
 void BackendConnection::OnHead(net::Head head) {
@@ -207,7 +207,7 @@
 
 void Backends::Count(const ServerReports& news) {
   for (const auto& [id, told] : news) {
-    ServerNews& sum = m_heard[id];
+    ServerReport& sum = m_heard[id];
     sum.requests += told.requests;
     sum.outcomes += told.outcomes;
   }
@@ -218,7 +218,7 @@
   for (const auto& [id, told] : news) {
     const auto found = m_heard.find(id);
     if (found == m_heard.end()) continue;
-    ServerNews& sum = found->second;
+    ServerReport& sum = found->second;
     sum.requests -= told.requests;
     sum.outcomes += {-told.outcomes.answers, -told.outcomes.failures};
     if (sum.requests <= 0 && sum.outcomes.answers < kRounding)
@@ -262,7 +262,7 @@
   std::vector<traffic::Candidate> candidates =
       CandidatesOf(&found->second, warm, avoid);
   if (candidates.empty()) return std::nullopt;
-  traffic::LeaveSome(&candidates, m_thresholds->sampling, &m_random);
+  traffic::SampleCandidates(&candidates, m_thresholds->sampling, &m_random);
   for (traffic::Candidate& candidate : candidates) {
     candidate.prompt_tokens = prompt.tokens;
     candidate.memory_part = prompt.memory_part;
@@ -307,7 +307,7 @@
       FindUsable(last->second.server, service, avoid) != nullptr) {
     return last->second.server;
   }
-  const auto reach = traffic::ReachFor(prompt.tokens, prompt.memory_part,
+  const auto reach = traffic::ChooseAffinityScope(prompt.tokens, prompt.memory_part,
                                        m_thresholds->placement);
   std::vector<traffic::Candidate> all;
   std::vector<traffic::Candidate> fast;
@@ -321,13 +321,13 @@
     all.push_back(candidate);
     if (!state->pace.slow()) fast.push_back(candidate);
   }
-  return traffic::LikelyHome(prompt.program, fast.empty() ? all : fast, reach);
+  return traffic::PreferredServer(prompt.program, fast.empty() ? all : fast, reach);
 }
 
 void Backends::Look(const State& state, traffic::Candidate* candidate) const {
   const Time now = m_loop->now();
   const auto heard = m_heard.find(state.server.id);
-  const auto told = heard == m_heard.end() ? ServerNews() : heard->second;
+  const auto told = heard == m_heard.end() ? ServerReport() : heard->second;
   const bool failing = now - state.failed_at < m_thresholds->failure_memory;
   auto       outcomes = state.outcomes.At(now);
   outcomes += told.outcomes;
@@ -427,32 +427,32 @@
   m_loop->Defer([dying] {});
 }
 
-void Backends::RememberLine(const std::string& line, const std::string& id) {
+void Backends::RememberSession(const std::string& line, const std::string& id) {
   if (!line.empty()) m_lines[line] = {id, m_loop->now()};
 }
 
-void Backends::NoteSuccess(const std::string& id) {
+void Backends::ObserveSuccess(const std::string& id) {
   const auto found = m_servers.find(id);
   if (found == m_servers.end()) return;
   found->second.failures = 0;
-  found->second.outcomes.Note(false, m_loop->now());
+  found->second.outcomes.Observe(false, m_loop->now());
 }
 
-void Backends::NoteFailure(const std::string& id) {
+void Backends::ObserveFailure(const std::string& id) {
   const auto found = m_servers.find(id);
   if (found == m_servers.end()) return;
   ++found->second.failures;
   found->second.failed_at = m_loop->now();
-  found->second.outcomes.Note(true, m_loop->now());
+  found->second.outcomes.Observe(true, m_loop->now());
 }
 
-void Backends::NoteBadAnswer(const std::string& id) {
+void Backends::ObserveBadAnswer(const std::string& id) {
   const auto found = m_servers.find(id);
   if (found == m_servers.end()) return;
-  found->second.outcomes.Note(true, m_loop->now());
+  found->second.outcomes.Observe(true, m_loop->now());
 }
 
-void Backends::NoteWork(const std::string& id, std::string_view kind,
+void Backends::ObserveServiceTime(const std::string& id, std::string_view kind,
                         double took) {
   const auto found = m_servers.find(id);
   if (found == m_servers.end()) return;
@@ -466,21 +466,21 @@
 }
 
 void Backends::RatePaces(Service* service) {
-  std::vector<capacity::ServerPace*> paces;
+  std::vector<capacity::ServerSlowdown*> paces;
   for (const auto* server : service->pool.all()) {
     paces.push_back(&m_servers.at(server->id).pace);
   }
   service->scale.Recenter(paces);
   service->scale.Forget(m_loop->now() - m_thresholds->prefix_memory);
   for (const auto* server : service->pool.all()) {
-    capacity::ServerPace& pace = m_servers.at(server->id).pace;
+    capacity::ServerSlowdown& pace = m_servers.at(server->id).pace;
     if (!pace.UpdateSlow()) continue;
     m_pace_changes.push_back(
         {server->id, server->service, pace.slow(), pace.Lasting()});
   }
 }
 
-std::vector<Backends::PaceChange> Backends::TakePaceChanges() {
+std::vector<Backends::SlowdownChange> Backends::TakeSlowdownChanges() {
   return std::exchange(m_pace_changes, {});
 }
 
@@ -491,9 +491,9 @@
       }));
 }
 
-capacity::ServiceRoom Backends::ComputeCapacity(
+capacity::ServiceCapacity Backends::ComputeCapacity(
     const std::string& service, const traffic::EngineLimits& engine) const {
-  capacity::ServiceRoom room;
+  capacity::ServiceCapacity room;
   const auto            found = m_services.find(service);
   if (found == m_services.end()) return room;
   for (const auto* server : found->second.pool.all()) {
@@ -527,14 +527,14 @@
   });
 }
 
-bool Backends::ServerNews::operator==(const ServerNews& other) const {
+bool Backends::ServerReport::operator==(const ServerReport& other) const {
   // Answers without failures are no news, and failures fade by themselves.
   constexpr double kSame = 0.5;
-  return requests == other.requests && pace_differs == other.pace_differs &&
+  return requests == other.requests && slowdown_changed == other.slowdown_changed &&
          std::abs(outcomes.failures - other.outcomes.failures) < kSame;
 }
 
-void Backends::SetPeerNews(const std::string& peer, const ServerReports& news) {
+void Backends::SetPeerReport(const std::string& peer, const ServerReports& news) {
   const Time now = m_loop->now();
   PeerNews&  known = m_peers[peer];
   Uncount(known.news);
@@ -546,11 +546,11 @@
   }
 }
 
-Backends::ServerReports Backends::OwnNews() const {
+Backends::ServerReports Backends::LocalReport() const {
   constexpr double kWorthTelling = 0.25;  // of a failure
   ServerReports             news;
   for (const auto& [id, state] : m_servers) {
-    ServerNews told{state.load, state.outcomes.At(m_loop->now()),
+    ServerReport told{state.load, state.outcomes.At(m_loop->now()),
                     state.pace.Unsent(), state.pace.NeedsImmediateReport()};
     if (told.outcomes.failures < kWorthTelling) told.outcomes = {};
     if (told.requests > 0 || told.outcomes.failures > 0 ||
@@ -561,12 +561,12 @@
   return news;
 }
 
-void Backends::NewsTold(ServerReports* news) {
+void Backends::OnReportSent(ServerReports* news) {
   for (auto& [id, told] : *news) {
     const auto found = m_servers.find(id);
     if (found != m_servers.end()) found->second.pace.TakeUnsent();
     told.slowdown = {};
-    told.pace_differs = false;
+    told.slowdown_changed = false;
   }
   std::erase_if(*news, [](const auto& entry) {
     return entry.second.requests == 0 && entry.second.outcomes.failures <= 0;
--- a/src/yuccawick/gateway/backends.h
+++ b/src/yuccawick/gateway/backends.h
@@ -35,15 +35,15 @@
 using net::Time;
 
 // Who sent a request over a connection hears what becomes of it.
-class BackendUser {
+class BackendHandler {
  public:
-  virtual ~BackendUser() = default;
+  virtual ~BackendHandler() = default;
   virtual void OnBackendConnected() = 0;
   // False: this answer belongs to another request and is to be skipped.
   virtual bool OnBackendHead(const net::Head& head) = 0;
   virtual void OnBackendBody(std::string_view bytes) = 0;
   virtual void OnBackendEnd() = 0;
-  virtual void OnBackendLost(traffic::LossCause cause) = 0;
+  virtual void OnBackendFailed(traffic::SendFailureCause cause) = 0;
 };
 
 class BackendConnection final : public net::StreamOwner, public net::HttpSink {
@@ -55,7 +55,7 @@
   ~BackendConnection() override;
 
   // Sends a request; `user` hears the rest until Release() or Close().
-  void               Send(BackendUser* user, std::string_view request);
+  void               Send(BackendHandler* user, std::string_view request);
   void               HoldReading(bool hold);
   bool               connected() const { return m_connected; }
   bool               usable_again() const;
@@ -73,16 +73,16 @@
   void OnMessageEnd() override;
 
  private:
-  void Lose(traffic::LossCause cause);
+  void Lose(traffic::SendFailureCause cause);
 
   net::EventLoop*                         m_loop;
   const Thresholds*                       m_thresholds;
   std::string                             m_server_id;
   std::function<void(BackendConnection*)> m_on_idle_lost;
-  pressure::Holding                       m_held_output;
+  pressure::MemoryCharge                       m_held_output;
   net::Stream                             m_stream;
   net::HttpReader                         m_reader;
-  BackendUser*                            m_user = nullptr;
+  BackendHandler*                            m_user = nullptr;
   net::TimerId                            m_connect_timer = 0;
   bool                                    m_connected = false;
   bool                                    m_skipping = false;
@@ -129,53 +129,53 @@
   void               Release(BackendConnection* connection);
   void               Discard(BackendConnection* connection);
 
-  void RememberLine(const std::string& line, const std::string& id);
-  void NoteSuccess(const std::string& id);
+  void RememberSession(const std::string& line, const std::string& id);
+  void ObserveSuccess(const std::string& id);
   // The server could not be reached, broke off or answered nonsense.
-  void NoteFailure(const std::string& id);
+  void ObserveFailure(const std::string& id);
   // A whole answer that says that the server failed, or did not want to.
-  void NoteBadAnswer(const std::string& id);
+  void ObserveBadAnswer(const std::string& id);
   // How long a piece of work took there, in ms. `kind`: what it compares with,
   // of this service.
-  void NoteWork(const std::string& id, std::string_view kind, double took);
+  void ObserveServiceTime(const std::string& id, std::string_view kind, double took);
   // Forgets what is old and rates servers anew; call about once a second.
   void Sweep();
 
   // A server turned slow, or fast again.
-  struct PaceChange {
+  struct SlowdownChange {
     std::string    server;
     std::string    service;
     bool           slow = false;
     capacity::SlowdownEstimate lasting;
   };
-  std::vector<PaceChange> TakePaceChanges();
+  std::vector<SlowdownChange> TakeSlowdownChanges();
   std::size_t             slow_servers() const;
-  capacity::ServiceRoom   ComputeCapacity(const std::string&           service,
+  capacity::ServiceCapacity   ComputeCapacity(const std::string&           service,
                                  const traffic::EngineLimits& engine) const;
 
   // What a node knows of a server and tells others.
-  struct ServerNews {
+  struct ServerReport {
     int                    requests = 0;  // under way there from the node
     traffic::OutcomeCounts outcomes;
     capacity::SlowdownEstimate         slowdown;  // observed since it was told last
-    bool                   pace_differs = false;  // from what was told before
+    bool                   slowdown_changed = false;  // from what was told before
 
-    bool operator==(const ServerNews& other) const;
+    bool operator==(const ServerReport& other) const;
   };
-  using ServerReports = std::map<std::string, ServerNews>;  // by server
-  void        SetPeerNews(const std::string& peer, const ServerReports& news);
-  ServerReports        OwnNews() const;
-  // What OwnNews() returned was sent. Leaves of it what holds on.
-  void        NewsTold(ServerReports* news);
+  using ServerReports = std::map<std::string, ServerReport>;  // by server
+  void        SetPeerReport(const std::string& peer, const ServerReports& news);
+  ServerReports        LocalReport() const;
+  // What LocalReport() returned was sent. Leaves of it what holds on.
+  void        OnReportSent(ServerReports* news);
   std::size_t connections() const { return m_connections.size(); }
   std::size_t servers() const { return m_servers.size(); }
 
  private:
   struct State {
-    explicit State(const capacity::PaceSettings& settings) : pace(settings) {}
+    explicit State(const capacity::SlowdownSettings& settings) : pace(settings) {}
 
     traffic::BackendServer          server;
-    capacity::ServerPace            pace;
+    capacity::ServerSlowdown            pace;
     bool                            listed = true;
     int                             load = 0;
     traffic::Outcomes               outcomes;
@@ -193,7 +193,7 @@
   };
   struct Service {
     traffic::ServerPool pool;  // listed servers that are not leaving
-    capacity::PaceScale scale;
+    capacity::SlowdownBaseline scale;
   };
   void         IndexServers();
   void         RatePaces(Service* service);
@@ -225,10 +225,10 @@
   std::mt19937_64                             m_random;
   std::unordered_map<std::string, State>      m_servers;   // by id
   std::unordered_map<std::string, Service>    m_services;  // by name
-  std::vector<PaceChange>                     m_pace_changes;
+  std::vector<SlowdownChange>                     m_pace_changes;
   std::unordered_map<std::string, LineHome>   m_lines;
   std::unordered_map<std::string, PeerNews>   m_peers;
-  std::unordered_map<std::string, ServerNews> m_heard;  // sum of m_peers
+  std::unordered_map<std::string, ServerReport> m_heard;  // sum of m_peers
   Time                                        m_oldest_news = 0;
   std::unordered_map<BackendConnection*, std::unique_ptr<BackendConnection>>
       m_connections;
--- a/src/yuccawick/gateway/client_connection.h
+++ b/src/yuccawick/gateway/client_connection.h
@@ -73,8 +73,8 @@
 
   GatewayParts              m_parts;
   ClientHost*               m_host;
-  pressure::Holding         m_held_body;
-  pressure::Holding         m_held_output;
+  pressure::MemoryCharge         m_held_body;
+  pressure::MemoryCharge         m_held_output;
   net::Stream               m_stream;
   net::HttpReader           m_reader;
   std::string               m_input;  // read and not yet taken
--- a/src/yuccawick/gateway/exchange.cc
+++ b/src/yuccawick/gateway/exchange.cc
@@ -12,7 +12,7 @@
 
 using traffic::AttemptEvent;
 using traffic::AttemptPhase;
-using traffic::LossCause;
+using traffic::SendFailureCause;
 using traffic::NextStep;
 using traffic::Refusal;
 using traffic::RequestKind;
@@ -149,7 +149,7 @@
   forwarding.left = std::max<Duration>(1, Left());
   const bool is_model = m_route->kind == RequestKind::kStreaming;
   forwarding.urgency =
-      is_model ? traffic::UrgencyOf(Priority(), ProgramLeft()) : -1;
+      is_model ? traffic::ComputeUrgency(Priority(), ProgramLeft()) : -1;
   forwarding.has_workspaces = m_routes->manifest()->workspaces.has_value();
   if (m_workspace != nullptr) forwarding.workspace = m_workspace->name;
   forwarding.last_event =
@@ -194,15 +194,15 @@
   }
 }
 
-void Exchange::OnBackendLost(LossCause cause) {
+void Exchange::OnBackendFailed(SendFailureCause cause) {
   LeaveServer(false);
-  m_parts.backends->NoteFailure(m_server_id);
+  m_parts.backends->ObserveFailure(m_server_id);
   Lost(cause);
 }
 
-void Exchange::Lost(LossCause cause) {
+void Exchange::Lost(SendFailureCause cause) {
   const auto self = shared_from_this();
-  m_parts.metrics->CountLoss(cause);
+  m_parts.metrics->CountSendFailure(cause);
   m_tried.push_back(m_server_id);
   if (cause == SendFailureCause::kBroken || cause == SendFailureCause::kBadAnswer) {
     m_in_doubt = true;
@@ -215,7 +215,7 @@
   loss.answering = m_passed_head;
   loss.other_server = m_parts.backends->AnyIn(m_service, m_tried);
   loss.left = Left();
-  const NextStep step = traffic::AfterLoss(*m_route, loss);
+  const NextStep step = traffic::DecideNextStep(*m_route, loss);
   m_parts.log->Write(LogEvent::kLoss, {{"request", m_info.attempt},
                                        {"server", m_server_id},
                                        {"cause", Name(cause)},
@@ -265,7 +265,7 @@
   if (m_client == nullptr) return;
   const bool sent = m_in_doubt || m_phase == AttemptPhase::kSent ||
                     m_phase == AttemptPhase::kAnswering;
-  if (sent && !m_passed_head) m_parts.backends->NoteBadAnswer(m_server_id);
+  if (sent && !m_passed_head) m_parts.backends->ObserveBadAnswer(m_server_id);
   LeaveServer(false);
   if (m_passed_head) {
     CutOff("out_of_time");
@@ -275,7 +275,7 @@
 }
 
 Duration Exchange::RetryAfter(Refusal refusal) const {
-  if (!traffic::InvitesReturn(refusal)) return -1;
+  if (!traffic::IsRetriable(refusal)) return -1;
   const Thresholds& limits = *m_parts.thresholds;
   Duration          mean = limits.return_delay;
   if (refusal == Refusal::kNotReady) {
@@ -289,7 +289,7 @@
   if (NeedsLog(refusal)) {
     const auto away = OutageAge();
     if (away && *away >= limits.log_wait && m_due > 0) {
-      return traffic::OutageReturn(Left(), Draw());
+      return traffic::OutageRetryDelay(Left(), Draw());
     }
     mean = std::clamp(m_parts.peers->LongestOutage(), limits.return_delay,
                       limits.outage_return);
--- a/src/yuccawick/gateway/exchange.h
+++ b/src/yuccawick/gateway/exchange.h
@@ -49,7 +49,7 @@
   net::EventLoop*   loop = nullptr;
   const Thresholds* thresholds = nullptr;
   Backends*         backends = nullptr;
-  TurnKeeper*       turns = nullptr;
+  TurnStore*       turns = nullptr;
   PeerService*      peers = nullptr;
   Log*              log = nullptr;
   Metrics*          metrics = nullptr;
@@ -57,12 +57,12 @@
   // Of the manifest in force, which may be newer than a request's.
   const std::shared_ptr<const traffic::RouteTable>* routes = nullptr;
   const workspaces::KeyLease*                       key_lease = nullptr;
-  Limiter*                                          limiter = nullptr;
-  TurnGate*                                         gate = nullptr;
+  RateLimiter*                                          limiter = nullptr;
+  TurnDispatcher*                                         gate = nullptr;
   pressure::MemoryBudgetPtr                         memory;
 };
 
-class Exchange final : public BackendUser,
+class Exchange final : public BackendHandler,
                        public std::enable_shared_from_this<Exchange> {
  public:
   Exchange(const GatewayParts& parts, ClientSide* client,
@@ -82,7 +82,7 @@
   bool OnBackendHead(const net::Head& head) override;
   void OnBackendBody(std::string_view bytes) override;
   void OnBackendEnd() override;
-  void OnBackendLost(traffic::LossCause cause) override;
+  void OnBackendFailed(traffic::SendFailureCause cause) override;
 
  private:
   // Preparing
@@ -107,7 +107,7 @@
   bool   KeyHolds();
   void   SendTo(const Backends::Choice& choice, bool fresh);
   void   LeaveServer(bool keep);
-  void   Lost(traffic::LossCause cause);
+  void   Lost(traffic::SendFailureCause cause);
   void   SendAgain(traffic::NextStep step);
   // Answering
   // Its status and headers are those of an answer to this request.
@@ -168,7 +168,7 @@
   Duration                     m_log_patience = 0;  // the longest so far
   // What it waits for, as its client is told if it waits too long.
   traffic::Refusal             m_awaits = traffic::Refusal::kLateUnsent;
-  TurnGate::Id                 m_gate_id = 0;  // of a turn for a model server
+  TurnDispatcher::Id                 m_gate_id = 0;  // of a turn for a model server
   // Of its workspace's rate limit.
   std::optional<workspaces::TokenPool::Batch> m_rate_token;
   Duration         m_limit_return = 0;  // ms until its workspace may have room
@@ -177,7 +177,7 @@
   programs::Tokens m_tokens_used = 0;
   std::string      m_chain;  // body for the server
 
-  pressure::Holding m_held;
+  pressure::MemoryCharge m_held;
 
   // The server at hand, and those before it.
   BackendConnection*       m_connection = nullptr;
@@ -202,7 +202,7 @@
   Time                   m_last_event_at = 0;
   Time                   m_sent_at = 0;
   bool     m_found_free = false;  // places at the server, if known
-  LogPlace m_kept;                // where the log holds the turn
+  LogPosition m_kept;                // where the log holds the turn
 };
 
 }  // namespace yuccawick::gateway
--- a/src/yuccawick/gateway/exchange_answer.cc
+++ b/src/yuccawick/gateway/exchange_answer.cc
@@ -12,7 +12,7 @@
 
 using traffic::AttemptEvent;
 using traffic::AttemptPhase;
-using traffic::LossCause;
+using traffic::SendFailureCause;
 using traffic::Refusal;
 using traffic::RequestKind;
 
@@ -85,7 +85,7 @@
 
 void Exchange::PassEvents(std::string_view bytes) {
   if (!m_events.Add(bytes)) {
-    OnBackendLost(SendFailureCause::kBadAnswer);
+    OnBackendFailed(SendFailureCause::kBadAnswer);
     return;
   }
   if (!m_passed_head) BeginAnswer(-1);
@@ -123,7 +123,7 @@
   const Time last = std::exchange(m_last_event_at, now);
   if (last == 0) return;
   const auto took = static_cast<double>(now - last);
-  m_parts.backends->NoteWork(m_server_id, kEventWork, took / events);
+  m_parts.backends->ObserveServiceTime(m_server_id, kEventWork, took / events);
 }
 
 void Exchange::ClientDrained() {
@@ -142,12 +142,12 @@
   if (m_client == nullptr) return;
   if (m_answer_info.not_run) {
     LeaveServer(true);
-    m_parts.backends->NoteBadAnswer(m_server_id);
+    m_parts.backends->ObserveBadAnswer(m_server_id);
     Lost(SendFailureCause::kNotRun);
     return;
   }
   if (!IsSound() || (m_is_stream && m_events.has_partial())) {
-    OnBackendLost(SendFailureCause::kBadAnswer);
+    OnBackendFailed(SendFailureCause::kBadAnswer);
     return;
   }
   LeaveServer(true);
@@ -162,11 +162,11 @@
 void Exchange::NoteOutcome() {
   constexpr int kFirstServerError = 500;
   if (m_answer.status >= kFirstServerError) {
-    m_parts.backends->NoteBadAnswer(m_server_id);
+    m_parts.backends->ObserveBadAnswer(m_server_id);
   } else {
-    m_parts.backends->NoteSuccess(m_server_id);
+    m_parts.backends->ObserveSuccess(m_server_id);
     if (m_answer.status <= kMostAccepted && !m_is_stream && m_found_free) {
-      m_parts.backends->NoteWork(
+      m_parts.backends->ObserveServiceTime(
           m_server_id, m_route->name,
           static_cast<double>(m_parts.loop->now() - m_sent_at));
     }
@@ -193,7 +193,7 @@
 
 void Exchange::EndStream() {
   if (!m_passed_head) BeginAnswer(-1);
-  m_parts.backends->RememberLine(LineKey(), m_server_id);
+  m_parts.backends->RememberSession(LineKey(), m_server_id);
   if (!Fire(AttemptEvent::kAnswerEnded)) return;
   if (m_route->keeps_turns) {
     RecordTurn();
@@ -210,7 +210,7 @@
   m_output.clear();
   CountHeld();
   m_parts.turns->Persist(turn, m_route->retention, m_due,
-                      [self = shared_from_this()](const LogPlace& kept) {
+                      [self = shared_from_this()](const LogPosition& kept) {
                         if (self->m_client == nullptr) return;
                         self->m_kept = kept;
                         self->FinishAnswer(net::kLastChunk);
--- a/src/yuccawick/gateway/exchange_prepare.cc
+++ b/src/yuccawick/gateway/exchange_prepare.cc
@@ -127,14 +127,14 @@
 }
 
 std::optional<Duration> Exchange::OutageAge() const {
-  if (m_parts.turns->MayKeep()) return std::nullopt;
+  if (m_parts.turns->CanPersist()) return std::nullopt;
   return m_parts.turns->reader().UnavailableFor();
 }
 
 Duration Exchange::LogPatience() const {
   const Thresholds& limits = *m_parts.thresholds;
   if (!OutageAge()) return limits.log_wait;
-  return traffic::OutageWait({limits.outage_hold, limits.outage_hold_share},
+  return traffic::OutageHoldTime({limits.outage_hold, limits.outage_hold_share},
                              m_due - m_began);
 }
 
@@ -155,7 +155,7 @@
                          LogPatience()};
   m_parts.limiter->Acquire(
       *m_workspace, step,
-      [self = shared_from_this()](const Admission& admission) {
+      [self = shared_from_this()](const RateLimitResult& admission) {
         if (self->m_client == nullptr) {
           if (admission.token.tokens > 0) {
             self->m_parts.limiter->Refund(self->m_workspace->name,
@@ -165,14 +165,14 @@
         }
         self->m_limit_return = admission.retry_delay;
         switch (admission.outcome) {
-          case AdmitOutcome::kAdmitted:
+          case RateLimitOutcome::kAdmitted:
             self->m_rate_token = admission.token;
             self->AwaitLog();
             break;
-          case AdmitOutcome::kOver:
+          case RateLimitOutcome::kOver:
             self->Refuse(Refusal::kOverLimit);
             break;
-          case AdmitOutcome::kUnsure:
+          case RateLimitOutcome::kUnsure:
             self->Refuse(Refusal::kLimitUnsure);
             break;
         }
@@ -185,7 +185,7 @@
 // after.
 void Exchange::AwaitLog() {
   if (m_client == nullptr) return;
-  if (!m_route->keeps_turns || m_parts.turns->MayKeep()) {
+  if (!m_route->keeps_turns || m_parts.turns->CanPersist()) {
     FindHistory();
     return;
   }
@@ -280,7 +280,7 @@
   m_reservation = reservation;
   if (reserved) {
     const bool known = !reservation.server.empty() && !LineKey().empty();
-    if (known) m_parts.backends->RememberLine(LineKey(), reservation.server);
+    if (known) m_parts.backends->RememberSession(LineKey(), reservation.server);
     Prepared();
   } else {
     Refuse(RefusalFor(reservation.outcome));
@@ -290,7 +290,7 @@
 void Exchange::AskForRoom(TurnBudget* turn) const {
   const auto* service = m_routes->manifest()->FindService(m_service);
   if (service == nullptr || !service->engine) return;
-  admission::TurnAsk& ask = turn->admission_request;
+  admission::AdmissionRequest& ask = turn->admission_request;
   ask.program = turn->program;
   ask.service = m_service;
   ask.partition = ClaimPartitionOf(turn->program);
@@ -316,7 +316,7 @@
 void Exchange::AwaitServers() {
   m_awaits = Refusal::kOverloaded;
   const auto place =
-      traffic::PlaceOf(InScope(m_info.program), Priority(), ProgramLeft());
+      traffic::QueueRank(InScope(m_info.program), Priority(), ProgramLeft());
   const auto self = shared_from_this();
   m_gate_id =
       m_parts.gate->Enqueue(m_service, place, m_route->target_latency, [this] {
--- a/src/yuccawick/gateway/gateway.cc
+++ b/src/yuccawick/gateway/gateway.cc
@@ -22,12 +22,12 @@
 constexpr traffic::ClientLimits kFirstLimits{16UL * 1024, 1UL << 20, 3000,
                                              15'000};
 
-std::vector<TokenDesk> MakeDesks(net::EventLoop*      loop,
+std::vector<TokenCoordinator> MakeDesks(net::EventLoop*      loop,
                                  const Thresholds*    thresholds,
                                  platform::RecordLog* store, Log* log,
                                  const std::string& incarnation,
-                                 RoomDesk*          room) {
-  std::vector<TokenDesk> desks;
+                                 AdmissionService*          room) {
+  std::vector<TokenCoordinator> desks;
   desks.reserve(kClaimPartitions);  // desks hand out pointers to themselves
   for (int i = 0; i < kClaimPartitions; ++i) {
     desks.emplace_back(loop, thresholds, store, log, incarnation, i, room);
@@ -35,12 +35,12 @@
   return desks;
 }
 
-std::vector<RateDesk> MakeRateDesks(
+std::vector<RateCoordinator> MakeRateDesks(
     net::EventLoop* loop, const Thresholds* thresholds,
     platform::RecordLog* store, Log* log, const std::string& incarnation,
     const workspaces::RateLedger::LimitLookup& limit_of,
     const workspaces::RateWindow&          window) {
-  std::vector<RateDesk> desks;
+  std::vector<RateCoordinator> desks;
   desks.reserve(kRatePartitions);  // desks hand out pointers to themselves
   for (int i = 0; i < kRatePartitions; ++i) {
     desks.emplace_back(loop, thresholds, store, log, incarnation, i, limit_of,
@@ -168,7 +168,7 @@
   m_backends.Update(servers);
 }
 
-capacity::ServiceRoom Gateway::RoomOf(const std::string& service) const {
+capacity::ServiceCapacity Gateway::RoomOf(const std::string& service) const {
   if (m_routes == nullptr) return {};
   const auto* found = m_routes->manifest()->FindService(service);
   if (found == nullptr || !found->engine) return {};
@@ -270,12 +270,12 @@
     readers.push_back(raw->buffer());
   }
   while (m_memory->IsFull()) {
-    const auto drop = ReaderToDrop(readers, m_thresholds->memory.full_stall_timeout);
+    const auto drop = ChooseClientToDrop(readers, m_thresholds->memory.full_stall_timeout);
     if (drop == pressure::kNoClient) return;
     m_log->Write(LogEvent::kPressure, {{"reader", "let_go"},
                                        {"waiting", readers[drop].waiting},
                                        {"stalled_ms", readers[drop].stalled}});
-    m_metrics->CountReaderLetGo();
+    m_metrics->CountClientDropped();
     readers[drop] = {};
     clients[drop]->DropClient();
   }
@@ -284,7 +284,7 @@
 void Gateway::Tick() {
   m_backends.Sweep();
   m_turns.Sweep();
-  for (TokenDesk& desk : m_desks) desk.Sweep();
+  for (TokenCoordinator& desk : m_desks) desk.Sweep();
   m_limiter.Sweep(m_routes != nullptr &&
                   m_routes->manifest()->workspaces.has_value());
   m_metrics->Set(Gauge::kConnections, static_cast<double>(m_clients.size()));
@@ -313,7 +313,7 @@
   constexpr double kPercent = 100.0;
   m_metrics->Set(Gauge::kSlowServers,
                  static_cast<double>(m_backends.slow_servers()));
-  for (const Backends::PaceChange& change : m_backends.TakePaceChanges()) {
+  for (const Backends::SlowdownChange& change : m_backends.TakeSlowdownChanges()) {
     m_log->Write(
         LogEvent::kPace,
         {{"server", change.server},
@@ -328,7 +328,7 @@
 void Gateway::WriteLogUse() {
   if (m_loop->now() - m_use_written_at < kLogUsePause) return;
   m_use_written_at = m_loop->now();
-  for (RateDesk& desk : m_rate_desks) desk.WriteTurnedAway();
+  for (RateCoordinator& desk : m_rate_desks) desk.LogRefusals();
   m_room.WriteUsageLines();
   WriteShares();
   for (const Metrics::LogUse& use : m_metrics->TakeLogUse()) {
@@ -375,11 +375,11 @@
     StopListening();
   CloseIdle();
   const bool served =
-      m_listener < 0 && m_clients.empty() && m_turns.unkept() == 0;
+      m_listener < 0 && m_clients.empty() && m_turns.pending_persists() == 0;
   if (served || m_loop->now() >= m_stop_due) {
     m_log->Write(LogEvent::kStopped, {{"connections_cut", m_clients.size()},
-                                      {"turns_not_durable", m_turns.unkept()}});
-    for (TokenDesk& desk : m_desks) desk.ReleaseAllUnused();
+                                      {"turns_not_durable", m_turns.pending_persists()}});
+    for (TokenCoordinator& desk : m_desks) desk.ReleaseAllUnused();
     m_store.Put(platform::Topic::kNodes, m_settings.node, std::nullopt,
                 m_thresholds->log_timeout,
                 [](const platform::StoreResult<platform::Appended>&) {});
--- a/src/yuccawick/gateway/gateway.h
+++ b/src/yuccawick/gateway/gateway.h
@@ -67,7 +67,7 @@
   void                                 FinishWhenIdle();
   bool                                 Ready() const;
   // Of a model service; of others, and while servers are unknown, nothing.
-  capacity::ServiceRoom                RoomOf(const std::string& service) const;
+  capacity::ServiceCapacity                RoomOf(const std::string& service) const;
   std::optional<workspaces::RateLimit> LimitOf(
       const std::string& workspace) const;
   // Of a workspace; without one of its own, of all that have none.
@@ -91,18 +91,18 @@
   Time                      m_started;
   platform::Store           m_store;
   pressure::MemoryBudgetPtr m_memory;
-  pressure::Holding         m_held_turns;
+  pressure::MemoryCharge         m_held_turns;
   Backends                  m_backends;
-  TurnKeeper                m_turns;
-  fairness::FairBegin       m_begin_share;
-  RoomDesk                  m_room;
-  std::vector<TokenDesk>    m_desks;  // by partition of the claims
+  TurnStore                m_turns;
+  fairness::FairSharePolicy       m_begin_share;
+  AdmissionService                  m_room;
+  std::vector<TokenCoordinator>    m_desks;  // by partition of the claims
   workspaces::KeyLease      m_key_lease;
   programs::Membership      m_members;
-  std::vector<RateDesk>     m_rate_desks;  // by partition of the rate claims
+  std::vector<RateCoordinator>     m_rate_desks;  // by partition of the rate claims
   PeerNetwork               m_network;
-  Limiter                   m_limiter;
-  TurnGate                  m_gate;
+  RateLimiter                   m_limiter;
+  TurnDispatcher                  m_gate;
   PeerService               m_peers;
   SmallServer               m_readiness;
   SmallServer               m_metrics_server;
--- a/src/yuccawick/gateway/limiter.cc
+++ b/src/yuccawick/gateway/limiter.cc
@@ -11,8 +11,8 @@
 namespace yuccawick::gateway {
 namespace {
 
-using workspaces::RateAnswer;
-using workspaces::RateAsk;
+using workspaces::RateResponse;
+using workspaces::RateRequest;
 
 // Homes that are asked one after the other.
 constexpr std::size_t  kMostHomes = 3;
@@ -47,9 +47,9 @@
 
 }  // namespace
 
-Limiter::Limiter(net::EventLoop* loop, const Thresholds* thresholds,
+RateLimiter::RateLimiter(net::EventLoop* loop, const Thresholds* thresholds,
                  const programs::NodeInfo& self, PeerNetwork* network,
-                 std::vector<RateDesk>* desks, CoordinatorLookup homes_for)
+                 std::vector<RateCoordinator>* desks, CoordinatorLookup homes_for)
     : m_loop(loop),
       m_thresholds(thresholds),
       m_self(self),
@@ -57,11 +57,11 @@
       m_desks(desks),
       m_homes_for(std::move(homes_for)) {}
 
-RateDesk& Limiter::DeskOf(const std::string& workspace) {
+RateCoordinator& RateLimiter::DeskOf(const std::string& workspace) {
   return (*m_desks)[static_cast<std::size_t>(RatePartitionOf(workspace))];
 }
 
-void Limiter::Sweep(bool limits) {
+void RateLimiter::Sweep(bool limits) {
   const Time now = m_loop->now();
   std::erase_if(m_programs, [now](const auto& entry) {
     return now - entry.second > kProgramMemory;
@@ -72,31 +72,31 @@
            now - local.used > kLocalMemory;
   });
   for (int i = 0; i < kRatePartitions; ++i) {
-    RateDesk& desk = (*m_desks)[static_cast<std::size_t>(i)];
+    RateCoordinator& desk = (*m_desks)[static_cast<std::size_t>(i)];
     desk.Sweep();
     if (!limits) continue;
-    const auto homes = m_homes_for(RateHomeKey(i));
+    const auto homes = m_homes_for(RateCoordinatorKey(i));
     if (!homes.empty() && homes.front().name == m_self.name) desk.Open();
   }
 }
 
 // Admitting ------------------------------------------------------------------
 
-bool Limiter::TakeToken(Local* local, const Waiter& waiter,
-                        Admission* admission) {
+bool RateLimiter::TakeToken(Local* local, const Waiter& waiter,
+                        RateLimitResult* admission) {
   admission->token = local->pool.TakeUpTo(1, m_loop->ReadClock());
   if (admission->token.tokens == 0) return false;
-  admission->outcome = AdmitOutcome::kAdmitted;
+  admission->outcome = RateLimitOutcome::kAdmitted;
   if (waiter.program == 0) return true;
   ++local->steps[waiter.program];
   m_programs[waiter.program] = m_loop->now();
   return true;
 }
 
-void Limiter::Acquire(const workspaces::Workspace& workspace,
+void RateLimiter::Acquire(const workspaces::Workspace& workspace,
                     const ProgramStep& step, Done done) {
   if (!workspace.limit) {
-    done({AdmitOutcome::kAdmitted, 0, {}});
+    done({RateLimitOutcome::kAdmitted, 0, {}});
     return;
   }
   const Time now = m_loop->now();
@@ -107,7 +107,7 @@
                 std::move(done)};
   waiter.known = waiter.program == 0 || step.continues ||
                  m_programs.contains(waiter.program);
-  Admission  admission;
+  RateLimitResult  admission;
   const bool scarce = now < local.scarce_until;
   const bool may_take = local.waiting.empty() && (waiter.known || !scarce);
   if (may_take && TakeToken(&local, waiter, &admission)) {
@@ -119,27 +119,27 @@
   Ask(workspace.name);
 }
 
-void Limiter::Refund(const std::string&                  workspace,
+void RateLimiter::Refund(const std::string&                  workspace,
                       const workspaces::TokenPool::Batch& token) {
   m_locals[workspace].pool.Add(token);
 }
 
-void Limiter::Charge(const std::string& workspace) {
+void RateLimiter::Charge(const std::string& workspace) {
   Local& local = m_locals[workspace];
   if (!local.pool.Take(m_loop->ReadClock())) ++local.debt;
 }
 
-void Limiter::ServeWaiting(const std::string& workspace) {
+void RateLimiter::ServeWaiting(const std::string& workspace) {
   Local&     local = m_locals[workspace];
   const bool scarce = m_loop->now() < local.scarce_until;
   struct Admitted {
     Done      done;
-    Admission admission;
+    RateLimitResult admission;
   };
   std::vector<Admitted> admitted;
   std::deque<Waiter>    left;
   for (Waiter& waiter : local.waiting) {
-    Admission  admission;
+    RateLimitResult  admission;
     const bool may_take = waiter.known || !scarce;
     if (may_take && TakeToken(&local, waiter, &admission)) {
       admitted.push_back({std::move(waiter.done), admission});
@@ -151,8 +151,8 @@
   for (const Admitted& each : admitted) each.done(each.admission);
 }
 
-void Limiter::TurnAway(const std::string& workspace, AdmitOutcome outcome,
-                       const RateAnswer& answer) {
+void RateLimiter::TurnAway(const std::string& workspace, RateLimitOutcome outcome,
+                       const RateResponse& answer) {
   Local&              local = m_locals[workspace];
   const Time          now = m_loop->now();
   std::deque<Waiter>  left;
@@ -160,7 +160,7 @@
   for (Waiter& waiter : local.waiting) {
     // An outage of the log, or of a home, ends; a limit that is used up stays
     // so for longer.
-    const Duration patience = outcome == AdmitOutcome::kUnsure
+    const Duration patience = outcome == RateLimitOutcome::kUnsure
                                   ? waiter.patience
                                   : m_thresholds->rate_wait;
     // A program that may not begin now is told at once; one under way waits
@@ -174,15 +174,15 @@
   local.waiting = std::move(left);
   for (const Waiter& waiter : ended) {
     waiter.done(
-        {outcome, waiter.known ? answer.retry_delay : answer.begin_retry, {}});
+        {outcome, waiter.known ? answer.retry_delay : answer.new_program_retry_delay, {}});
   }
 }
 
 // Asking ---------------------------------------------------------------------
 
-RateAsk Limiter::NextAsk(const std::string& workspace, Local* local) const {
+RateRequest RateLimiter::NextAsk(const std::string& workspace, Local* local) const {
   const Time now = m_loop->now();
-  RateAsk    ask;
+  RateRequest    ask;
   ask.workspace = workspace;
   for (const Waiter& waiter : local->waiting) {
     if (waiter.known) {
@@ -206,7 +206,7 @@
   return ask;
 }
 
-void Limiter::Ask(const std::string& workspace) {
+void RateLimiter::Ask(const std::string& workspace) {
   Local&     local = m_locals[workspace];
   const Time now = m_loop->now();
   const bool ahead =
@@ -216,15 +216,15 @@
   AskRank(NextAsk(workspace, &local), 0, m_loop->now());
 }
 
-void Limiter::AskRank(const RateAsk& ask, std::size_t rank, Time asked) {
-  const auto homes = m_homes_for(RateHomeKey(RatePartitionOf(ask.workspace)));
+void RateLimiter::AskRank(const RateRequest& ask, std::size_t rank, Time asked) {
+  const auto homes = m_homes_for(RateCoordinatorKey(RatePartitionOf(ask.workspace)));
   if (rank >= std::min(homes.size(), kMostHomes)) {
-    RateAnswer unsure;
+    RateResponse unsure;
     unsure.unsure = true;
     TakeAnswer(ask, unsure, asked);
     return;
   }
-  const auto answered = [this, ask, rank, asked](const RateAnswer& answer) {
+  const auto answered = [this, ask, rank, asked](const RateResponse& answer) {
     if (answer.unsure) {
       // It does not reach the log; who takes its place may.
       AskRank(ask, rank + 1, asked);
@@ -239,8 +239,8 @@
   }
 }
 
-void Limiter::AskNode(const programs::NodeInfo& home, const RateAsk& ask,
-                      const RateDesk::Done& done) {
+void RateLimiter::AskNode(const programs::NodeInfo& home, const RateRequest& ask,
+                      const RateCoordinator::Done& done) {
   m_network->SendRequest(
       home,
       [&ask](PeerMessage::Builder message) {
@@ -263,7 +263,7 @@
       },
       m_thresholds->rate_timeout,
       [done](std::optional<PeerMessage::Reader> message) {
-        RateAnswer answer;
+        RateResponse answer;
         answer.unsure = !message || !message->isRateAnswer();
         if (!answer.unsure) {
           const auto told = message->getRateAnswer();
@@ -275,7 +275,7 @@
           answer.origin = told.getOrigin();
           answer.valid = told.getValidMs();
           answer.retry_delay = told.getRetryMs();
-          answer.begin_retry = told.getBeginRetryMs();
+          answer.new_program_retry_delay = told.getBeginRetryMs();
           answer.scarce = told.getScarce();
           answer.plenty = told.getPlenty();
         }
@@ -283,7 +283,7 @@
       });
 }
 
-void Limiter::TakeAnswer(const RateAsk& ask, const RateAnswer& answer,
+void RateLimiter::TakeAnswer(const RateRequest& ask, const RateResponse& answer,
                          Time asked) {
   Local& local = m_locals[ask.workspace];
   local.asking = false;
@@ -303,7 +303,7 @@
   }
   ServeWaiting(ask.workspace);
   TurnAway(ask.workspace,
-           answer.unsure ? AdmitOutcome::kUnsure : AdmitOutcome::kOver, answer);
+           answer.unsure ? RateLimitOutcome::kUnsure : RateLimitOutcome::kOver, answer);
   if (m_locals[ask.workspace].waiting.empty()) return;
   AskLater(ask.workspace, answer.unsure ? m_thresholds->reserve_pause
                           : answer.tokens > 0
@@ -311,14 +311,14 @@
                               : std::max<Duration>(answer.retry_delay, kLeastPause));
 }
 
-void Limiter::AskLater(const std::string& workspace, Duration delay) {
+void RateLimiter::AskLater(const std::string& workspace, Duration delay) {
   m_loop->After(delay, [this, workspace] { Ask(workspace); });
 }
 
-void Limiter::ServeRequest(PeerMessage::Reader       message,
+void RateLimiter::ServeRequest(PeerMessage::Reader       message,
                        const PeerNetwork::Reply& reply) {
   const auto asked = message.getRateAsk();
-  RateAsk    ask;
+  RateRequest    ask;
   ask.workspace = asked.getWorkspace().cStr();
   ask.want = asked.getWant();
   for (const auto program : asked.getWaiting()) ask.waiting.push_back(program);
@@ -329,7 +329,7 @@
     ask.unused.push_back(
         {ask.workspace, unused.getTokens(), unused.getOrigin()});
   }
-  DeskOf(ask.workspace).RequestTokens(ask, [reply](const RateAnswer& answer) {
+  DeskOf(ask.workspace).RequestTokens(ask, [reply](const RateResponse& answer) {
     reply([&answer](PeerMessage::Builder told) {
       auto rate = told.initRateAnswer();
       rate.setUnsure(answer.unsure);
@@ -339,7 +339,7 @@
       rate.setOrigin(answer.origin);
       rate.setValidMs(static_cast<std::uint32_t>(answer.valid));
       rate.setRetryMs(static_cast<std::uint32_t>(answer.retry_delay));
-      rate.setBeginRetryMs(static_cast<std::uint32_t>(answer.begin_retry));
+      rate.setBeginRetryMs(static_cast<std::uint32_t>(answer.new_program_retry_delay));
       rate.setScarce(answer.scarce);
       rate.setPlenty(answer.plenty);
     });
--- a/src/yuccawick/gateway/limiter.h
+++ b/src/yuccawick/gateway/limiter.h
@@ -27,14 +27,14 @@
 
 namespace yuccawick::gateway {
 
-enum class AdmitOutcome : std::uint8_t {
+enum class RateLimitOutcome : std::uint8_t {
   kAdmitted,
   kOver,    // the workspace has used up its limit
   kUnsure,  // no home answers
 };
 
-struct Admission {
-  AdmitOutcome                 outcome = AdmitOutcome::kUnsure;
+struct RateLimitResult {
+  RateLimitOutcome                 outcome = RateLimitOutcome::kUnsure;
   Duration                     retry_delay = 0;  // ms until there may be room
   workspaces::TokenPool::Batch token;      // none: no limit
 };
@@ -46,16 +46,16 @@
   Duration    patience = 0;       // ms that it waits while no home answers
 };
 
-class Limiter {
+class RateLimiter {
  public:
-  using Done = std::function<void(const Admission&)>;
+  using Done = std::function<void(const RateLimitResult&)>;
   // The nodes that may be home of a key, the first choice first.
   using CoordinatorLookup =
       std::function<std::vector<programs::NodeInfo>(const std::string& key)>;
 
-  Limiter(net::EventLoop* loop, const Thresholds* thresholds,
+  RateLimiter(net::EventLoop* loop, const Thresholds* thresholds,
           const programs::NodeInfo& self, PeerNetwork* network,
-          std::vector<RateDesk>* desks, CoordinatorLookup homes_for);
+          std::vector<RateCoordinator>* desks, CoordinatorLookup homes_for);
 
   void Acquire(const workspaces::Workspace& workspace, const ProgramStep& step,
              Done done);
@@ -90,28 +90,28 @@
     Time         used = 0;
   };
 
-  bool TakeToken(Local* local, const Waiter& waiter, Admission* admission);
-  workspaces::RateAsk NextAsk(const std::string& workspace, Local* local) const;
+  bool TakeToken(Local* local, const Waiter& waiter, RateLimitResult* admission);
+  workspaces::RateRequest NextAsk(const std::string& workspace, Local* local) const;
   // Asks if a request waits, or if tokens are plenty and nearly gone here.
   void                Ask(const std::string& workspace);
-  void AskRank(const workspaces::RateAsk& ask, std::size_t rank, Time asked);
-  void AskNode(const programs::NodeInfo& home, const workspaces::RateAsk& ask,
-               const RateDesk::Done& done);
-  void TakeAnswer(const workspaces::RateAsk&    ask,
-                  const workspaces::RateAnswer& answer, Time asked);
+  void AskRank(const workspaces::RateRequest& ask, std::size_t rank, Time asked);
+  void AskNode(const programs::NodeInfo& home, const workspaces::RateRequest& ask,
+               const RateCoordinator::Done& done);
+  void TakeAnswer(const workspaces::RateRequest&    ask,
+                  const workspaces::RateResponse& answer, Time asked);
   void AskLater(const std::string& workspace, Duration delay);
   // Answers whom it can from what is at hand.
   void ServeWaiting(const std::string& workspace);
   // Ends the waits of those that would wait too long.
-  void TurnAway(const std::string& workspace, AdmitOutcome outcome,
-                const workspaces::RateAnswer& answer);
-  RateDesk& DeskOf(const std::string& workspace);
+  void TurnAway(const std::string& workspace, RateLimitOutcome outcome,
+                const workspaces::RateResponse& answer);
+  RateCoordinator& DeskOf(const std::string& workspace);
 
   net::EventLoop*                                   m_loop;
   const Thresholds*                                 m_thresholds;
   programs::NodeInfo                                m_self;
   PeerNetwork*                                      m_network;
-  std::vector<RateDesk>*                            m_desks;  // by partition
+  std::vector<RateCoordinator>*                            m_desks;  // by partition
   CoordinatorLookup                                          m_homes_for;
   std::unordered_map<std::string, Local>            m_locals;  // by workspace
   // Programs under way, when they were last seen here.
--- a/src/yuccawick/gateway/log_health.cc
+++ b/src/yuccawick/gateway/log_health.cc
@@ -2,7 +2,7 @@
 
 namespace yuccawick::gateway {
 
-void LogHealth::Note(bool answered, std::string_view call) {
+void LogHealth::Observe(bool answered, std::string_view call) {
   m_noted_at = m_loop->now();
   if (answered != m_away) return;
   m_away = !answered;
--- a/src/yuccawick/gateway/log_health.h
+++ b/src/yuccawick/gateway/log_health.h
@@ -20,7 +20,7 @@
       : m_loop(loop), m_log(log), m_name(std::move(name)) {}
 
   // The outcome of one call; `call` says which, for the log line.
-  void Note(bool answered, std::string_view call);
+  void Observe(bool answered, std::string_view call);
   bool unavailable() const { return m_away; }
   // No call has ended for so long, in ms.
   bool IdleFor(net::Duration time) const {
--- a/src/yuccawick/gateway/metrics.cc
+++ b/src/yuccawick/gateway/metrics.cc
@@ -43,7 +43,7 @@
   auto& repeats = CounterFamily(registry, "yuccawick_retries_total",
                                 "Requests sent again, by cause");
   for (std::size_t i = 0; i < m_losses.size(); ++i) {
-    const std::string name(Name(static_cast<traffic::LossCause>(i)));
+    const std::string name(Name(static_cast<traffic::SendFailureCause>(i)));
     m_losses[i] = &losses.Add({{"cause", name}});
     m_repeats[i] = &repeats.Add({{"cause", name}});
   }
@@ -140,17 +140,17 @@
   m_memory_level->Set(static_cast<double>(memory.level()));
 }
 
-void Metrics::CountReaderLetGo() { m_readers_let_go->Increment(); }
+void Metrics::CountClientDropped() { m_readers_let_go->Increment(); }
 
 void Metrics::CountRefusal(traffic::Refusal refusal) {
   m_refusals[static_cast<std::size_t>(refusal)]->Increment();
 }
 
-void Metrics::CountLoss(traffic::LossCause cause) {
+void Metrics::CountSendFailure(traffic::SendFailureCause cause) {
   m_losses[static_cast<std::size_t>(cause)]->Increment();
 }
 
-void Metrics::CountRepeat(traffic::LossCause cause) {
+void Metrics::CountRepeat(traffic::SendFailureCause cause) {
   m_repeats[static_cast<std::size_t>(cause)]->Increment();
 }
 
@@ -158,7 +158,7 @@
   m_answers[static_cast<std::size_t>(kind)]->Increment();
 }
 
-void Metrics::CountTurnKept(bool by_peer) {
+void Metrics::CountTurnPersisted(bool by_peer) {
   m_turns_kept[by_peer ? 1 : 0]->Increment();
 }
 
@@ -197,7 +197,7 @@
   m_first_event_seconds->Observe(seconds);
 }
 
-void Metrics::ObserveTurnKept(double seconds) {
+void Metrics::ObserveTurnPersisted(double seconds) {
   m_turn_kept_seconds->Observe(seconds);
 }
 
--- a/src/yuccawick/gateway/metrics.h
+++ b/src/yuccawick/gateway/metrics.h
@@ -38,17 +38,17 @@
  public:
   Metrics();
   void CountRefusal(traffic::Refusal refusal);
-  void CountLoss(traffic::LossCause cause);
-  void CountRepeat(traffic::LossCause cause);
+  void CountSendFailure(traffic::SendFailureCause cause);
+  void CountRepeat(traffic::SendFailureCause cause);
   void CountAnswer(traffic::RequestKind kind);
   void CountStoreCall(const platform::CallReport& call);  // any thread
-  void CountTurnKept(bool by_peer);
+  void CountTurnPersisted(bool by_peer);
   void ObserveAnswer(double seconds);
   void ObserveFirstEvent(double seconds);
-  void ObserveTurnKept(double seconds);
+  void ObserveTurnPersisted(double seconds);
   void Set(Gauge gauge, double value);
   void SetMemory(const pressure::MemoryBudget& memory);
-  void CountReaderLetGo();
+  void CountClientDropped();
   // Calls of one kind on one topic since the last TakeLogUse().
   struct LogUse {
     platform::Topic    topic;
@@ -80,7 +80,7 @@
   std::array<LogCalls, platform::kTopicCount * platform::kCallKindCount>
                                                        m_log_calls;
   std::array<prometheus::Gauge*, kGaugeCount>          m_gauges{};
-  std::array<prometheus::Gauge*, pressure::kHeldCount> m_held_bytes{};
+  std::array<prometheus::Gauge*, pressure::kMemoryKindCount> m_held_bytes{};
   prometheus::Gauge*                                   m_memory_bound = nullptr;
   prometheus::Gauge*                                   m_memory_level = nullptr;
   prometheus::Counter*   m_readers_let_go = nullptr;
--- a/src/yuccawick/gateway/peer_network.cc
+++ b/src/yuccawick/gateway/peer_network.cc
@@ -299,7 +299,7 @@
   if (entry.empty()) return;
   const std::shared_ptr<Session> dying = std::move(entry.mapped());
   dying->Close();
-  m_service->OnSessionEnd(id);
+  m_service->OnConnectionClosed(id);
   m_loop->Defer([dying] {});
 }
 
--- a/src/yuccawick/gateway/peer_network.h
+++ b/src/yuccawick/gateway/peer_network.h
@@ -44,7 +44,7 @@
     // `reply` may be called later, once, or never.
     virtual void OnMessage(ConnectionId session, const std::string& node,
                            PeerMessage::Reader message, Reply reply) = 0;
-    virtual void OnSessionEnd(ConnectionId session) = 0;
+    virtual void OnConnectionClosed(ConnectionId session) = 0;
     // An answer came after its question had been given up.
     virtual void OnLateAnswer(const std::string&  node,
                               PeerMessage::Reader message,
--- a/src/yuccawick/gateway/peer_service.cc
+++ b/src/yuccawick/gateway/peer_service.cc
@@ -25,7 +25,7 @@
   return static_cast<ReserveOutcome>(reserved);
 }
 
-void SetAsk(const admission::TurnAsk&         ask,
+void SetAsk(const admission::AdmissionRequest&         ask,
             programs::wire::Reserve::Builder* reserve) {
   if (ask.service.empty()) return;
   reserve->setService(ask.service);
@@ -38,7 +38,7 @@
   reserve->setLeftMs(ask.left.value_or(0));
 }
 
-void FillRoomUse(const RoomDesk::UsageByService& uses, PeerMessage::Builder message) {
+void FillRoomUse(const AdmissionService::UsageByService& uses, PeerMessage::Builder message) {
   unsigned size = 0;
   for (const auto& [service, parts] : uses) {
     size += static_cast<unsigned>(parts.size());
@@ -57,8 +57,8 @@
   }
 }
 
-admission::TurnAsk GetAsk(programs::wire::Reserve::Reader reserve) {
-  admission::TurnAsk ask;
+admission::AdmissionRequest GetAsk(programs::wire::Reserve::Reader reserve) {
+  admission::AdmissionRequest ask;
   ask.program = reserve.getProgram().cStr();
   ask.service = reserve.getService().cStr();
   ask.partition = ClaimPartitionOf(ask.program);
@@ -76,8 +76,8 @@
 
 PeerService::PeerService(net::EventLoop* loop, const Thresholds* thresholds,
                          programs::Membership* members, PeerNetwork* network,
-                         std::vector<TokenDesk>* desks, Limiter* limiter,
-                         TurnKeeper* turns, Backends* backends, RoomDesk* room)
+                         std::vector<TokenCoordinator>* desks, RateLimiter* limiter,
+                         TurnStore* turns, Backends* backends, AdmissionService* room)
     : m_loop(loop),
       m_thresholds(thresholds),
       m_members(members),
@@ -93,7 +93,7 @@
 
 // Tokens ---------------------------------------------------------------------
 
-TokenDesk& PeerService::DeskOf(const std::string& program) {
+TokenCoordinator& PeerService::DeskOf(const std::string& program) {
   return (*m_desks)[static_cast<std::size_t>(ClaimPartitionOf(program))];
 }
 
@@ -137,13 +137,13 @@
   if (outage_of_all) return homes;
   std::stable_partition(
       homes.begin(), homes.end(),
-      [this](const NodeInfo& node) { return !m_turns.LacksLog(node.name); });
+      [this](const NodeInfo& node) { return !m_turns.ReportedLogUnavailable(node.name); });
   return homes;
 }
 
 void PeerService::ReserveFrom(const TurnBudget& turn, std::size_t rank,
                               Time until, const ReserveDone& done) {
-  const auto homes = RankCoordinators(ClaimHomeKey(ClaimPartitionOf(turn.program)));
+  const auto homes = RankCoordinators(TokenCoordinatorKey(ClaimPartitionOf(turn.program)));
   if (rank >= std::min(homes.size(), kMaxHomes)) {
     ReserveUnsure(turn, until, done);
     return;
@@ -174,7 +174,7 @@
                          done](std::optional<PeerMessage::Reader> answer) {
     if (answer && answer->isReserved()) {
       const auto outcome = FromWire(answer->getReserved());
-      if (outcome == ReserveOutcome::kUnsure) m_turns.NoteLogAway(name);
+      if (outcome == ReserveOutcome::kUnsure) m_turns.MarkLogUnavailable(name);
       done({outcome, turn, name});
       return;
     }
@@ -295,7 +295,7 @@
       .EndTurn(ended, settle.getUsed(), settle.getServer().cStr());
 }
 
-void PeerService::OnSessionEnd(PeerNetwork::ConnectionId session) {
+void PeerService::OnConnectionClosed(PeerNetwork::ConnectionId session) {
   auto node = m_reserved.extract(session);
   if (node.empty()) return;
   // What these turns generate will not be heard of; their most is safe.
@@ -334,8 +334,8 @@
 
 Duration PeerService::LongestOutage() const {
   Duration longest = m_keeper->reader().UnavailableFor();
-  for (const TokenDesk& desk : *m_desks) {
-    longest = std::max(longest, desk.LogAwayFor());
+  for (const TokenCoordinator& desk : *m_desks) {
+    longest = std::max(longest, desk.LogUnavailableFor());
   }
   return longest;
 }
@@ -364,7 +364,7 @@
 }
 
 void PeerService::TellLoads() {
-  auto       news = m_backends->OwnNews();
+  auto       news = m_backends->LocalReport();
   const bool due = m_loop->now() - m_told_at >= m_thresholds->news_anyway;
   if (news == m_told && !due) return;
   m_told = std::move(news);
@@ -385,7 +385,7 @@
       }
     });
   }
-  m_backends->NewsTold(&m_told);
+  m_backends->OnReportSent(&m_told);
 }
 
 void PeerService::TakeLoads(const std::string&  node,
@@ -396,7 +396,7 @@
                                      {load.getAnswers(), load.getFailures()},
                                      {load.getPace(), load.getPaceSamples()}};
   }
-  m_backends->SetPeerNews(node, news);
+  m_backends->SetPeerReport(node, news);
 }
 
 void PeerService::FindOtherHomes() {
@@ -404,7 +404,7 @@
   m_homes_found_at = m_loop->now();
   m_other_homes.clear();
   for (int partition = 0; partition < kClaimPartitions; ++partition) {
-    const auto homes = RankCoordinators(ClaimHomeKey(partition));
+    const auto homes = RankCoordinators(TokenCoordinatorKey(partition));
     if (homes.empty() || homes.front().name == m_members->self().name) continue;
     m_other_homes.emplace(homes.front().name, homes.front());
   }
@@ -427,7 +427,7 @@
 
 void PeerService::TakeRoom(const std::string&  node,
                            PeerMessage::Reader message) {
-  RoomDesk::UsageByService uses;
+  AdmissionService::UsageByService uses;
   for (const auto& use : message.getRoomUse()) {
     uses[use.getService().cStr()][use.getPartition()] = {
         static_cast<int>(use.getPrograms()), use.getPlaces(), use.getMemory()};
@@ -444,7 +444,7 @@
       auto list =
           message.initWorkCharges(static_cast<unsigned>(charges.size()));
       unsigned i = 0;
-      for (const fairness::WorkCharge& charge : charges) {
+      for (const fairness::UsageCharge& charge : charges) {
         list[i].setWorkspace(charge.workspace);
         list[i].setWork(static_cast<float>(charge.work));
         list[i].setTurns(static_cast<float>(charge.turns));
@@ -455,12 +455,12 @@
 }
 
 void PeerService::TakeCharges(PeerMessage::Reader message) {
-  std::vector<fairness::WorkCharge> charges;
+  std::vector<fairness::UsageCharge> charges;
   for (const auto& charge : message.getWorkCharges()) {
     charges.push_back(
         {charge.getWorkspace().cStr(), charge.getWork(), charge.getTurns()});
   }
-  m_room->HearCharges(charges);
+  m_room->MergePeerCharges(charges);
 }
 
 void PeerService::OnMessage(PeerNetwork::ConnectionId session,
@@ -481,7 +481,7 @@
       m_turns.ServeFind(message, reply);
       break;
     case PeerMessage::LOG_AWAY:
-      m_turns.NoteLogAway(node);
+      m_turns.MarkLogUnavailable(node);
       break;
     case PeerMessage::RATE_ASK:
       m_limiter->ServeRequest(message, reply);
--- a/src/yuccawick/gateway/peer_service.h
+++ b/src/yuccawick/gateway/peer_service.h
@@ -36,8 +36,8 @@
  public:
   PeerService(net::EventLoop* loop, const Thresholds* thresholds,
               programs::Membership* members, PeerNetwork* network,
-              std::vector<TokenDesk>* desks, Limiter* limiter,
-              TurnKeeper* turns, Backends* backends, RoomDesk* room);
+              std::vector<TokenCoordinator>* desks, RateLimiter* limiter,
+              TurnStore* turns, Backends* backends, AdmissionService* room);
 
   using ReserveDone = std::function<void(const Reservation&)>;
   // Asks again for up to `patience` ms while it is not decided.
@@ -67,7 +67,7 @@
   void OnMessage(PeerNetwork::ConnectionId session, const std::string& node,
                  PeerMessage::Reader message,
                  PeerNetwork::Reply  reply) override;
-  void OnSessionEnd(PeerNetwork::ConnectionId session) override;
+  void OnConnectionClosed(PeerNetwork::ConnectionId session) override;
   void OnLateAnswer(const std::string& node, PeerMessage::Reader message,
                     std::uint64_t number) override;
 
@@ -94,7 +94,7 @@
   void AnswerReserve(const TurnBudget& turn, ReserveOutcome outcome,
                      PeerMessage::Builder answer);
   void ServeSettle(PeerNetwork::ConnectionId session, PeerMessage::Reader message);
-  TokenDesk& DeskOf(const std::string& program);
+  TokenCoordinator& DeskOf(const std::string& program);
   void       TakeLoads(const std::string& node, PeerMessage::Reader message);
   void       TellSettle(const std::string& home, const TurnBudget& turn,
                         programs::Tokens used, const std::string& server);
@@ -103,12 +103,12 @@
   const Thresholds*       m_thresholds;
   programs::Membership*   m_members;
   PeerNetwork*            m_network;
-  std::vector<TokenDesk>* m_desks;  // by partition of the claims
-  Limiter*                m_limiter;
-  TurnKeeper*             m_keeper;
+  std::vector<TokenCoordinator>* m_desks;  // by partition of the claims
+  RateLimiter*                m_limiter;
+  TurnStore*             m_keeper;
   PeerTurns               m_turns;
   Backends*               m_backends;
-  RoomDesk*               m_room;
+  AdmissionService*               m_room;
   // Turns reserved here for other nodes, by the session they came over.
   std::unordered_map<PeerNetwork::ConnectionId, std::vector<TurnBudget>>
                                             m_reserved;
@@ -117,7 +117,7 @@
   Backends::ServerReports                            m_told;
   Time                                      m_told_at = 0;
   Time                                      m_outage_told_at = 0;
-  RoomDesk::UsageByService                            m_room_told;
+  AdmissionService::UsageByService                            m_room_told;
   Time                                      m_room_told_at = 0;
   // Of the claims' partitions; ranking them takes all nodes.
   std::map<std::string, programs::NodeInfo> m_other_homes;  // by name
--- a/src/yuccawick/gateway/peer_turns.cc
+++ b/src/yuccawick/gateway/peer_turns.cc
@@ -13,7 +13,7 @@
 
 PeerTurns::PeerTurns(net::EventLoop* loop, const Thresholds* thresholds,
                      programs::Membership* members, PeerNetwork* network,
-                     TurnKeeper* turns)
+                     TurnStore* turns)
     : m_loop(loop),
       m_thresholds(thresholds),
       m_members(members),
@@ -22,7 +22,7 @@
   turns->SetPeers(this);
 }
 
-void PeerTurns::NoteLogAway(const std::string& node) {
+void PeerTurns::MarkLogUnavailable(const std::string& node) {
   m_without_log[node] = m_loop->now();
   // This node may not have noticed: it would be asked to append for others.
   m_turns->reader().Probe();
@@ -31,11 +31,11 @@
 std::vector<NodeInfo> PeerTurns::WhoReachLog() const {
   auto nodes = m_members->Others();
   std::erase_if(nodes,
-                [this](const NodeInfo& node) { return LacksLog(node.name); });
+                [this](const NodeInfo& node) { return ReportedLogUnavailable(node.name); });
   return nodes;
 }
 
-bool PeerTurns::LacksLog(const std::string& node) const {
+bool PeerTurns::ReportedLogUnavailable(const std::string& node) const {
   const auto said = m_without_log.find(node);
   return said != m_without_log.end() &&
          m_loop->now() - said->second < m_thresholds->outage_memory;
@@ -72,12 +72,12 @@
                             const std::string&                 node,
                             std::optional<PeerMessage::Reader> answer) {
     --*left;
-    std::optional<LogPlace> kept;
+    std::optional<LogPosition> kept;
     if (answer && answer->isTurnKept()) {
       const auto place = answer->getTurnKept();
-      kept = LogPlace{place.getPartition(), place.getOffset(), true};
+      kept = LogPosition{place.getPartition(), place.getOffset(), true};
     } else {
-      NoteLogAway(node);
+      MarkLogUnavailable(node);
     }
     if (!kept && *left > 0) return;
     if (const auto told = std::exchange(*waiting, nullptr)) told(kept);
@@ -151,13 +151,13 @@
   return readers;
 }
 
-ReaderIs PeerTurns::AskReader(int partition, const std::string& id,
+ReaderLocation PeerTurns::AskReader(int partition, const std::string& id,
                               std::size_t                        rank,
                               std::function<void(const Lookup&)> done) {
   const auto readers = ReadersOf(partition);
-  if (rank >= readers.size()) return ReaderIs::kNobody;
+  if (rank >= readers.size()) return ReaderLocation::kNobody;
   const NodeInfo& reader = readers[rank];
-  if (reader.name == m_members->self().name) return ReaderIs::kSelf;
+  if (reader.name == m_members->self().name) return ReaderLocation::kSelf;
   m_network->SendRequest(
       reader,
       [&](PeerMessage::Builder message) {
@@ -181,14 +181,14 @@
         }
         done(lookup);
       });
-  return ReaderIs::kAnother;
+  return ReaderLocation::kAnother;
 }
 
 void PeerTurns::ServePersist(PeerMessage::Reader       message,
                           const PeerNetwork::Reply& reply) {
   const auto keep = message.getKeepTurn();
   m_turns->PersistForPeer(programs::Read(keep.getTurn()), keep.getRetentionMs(),
-                   [reply](std::optional<LogPlace> kept) {
+                   [reply](std::optional<LogPosition> kept) {
                      reply([kept](PeerMessage::Builder answer) {
                        if (!kept) {
                          answer.setTurnNotKept();
--- a/src/yuccawick/gateway/peer_turns.h
+++ b/src/yuccawick/gateway/peer_turns.h
@@ -2,8 +2,8 @@
 // not answer, look for a turn in memory, and read a partition of the log for
 // their zone.
 //
-// Asking: the functions of TurnPeers, for this node's TurnKeeper. Serving: the
-// questions of others, from the same TurnKeeper.
+// Asking: the functions of TurnPeers, for this node's TurnStore. Serving: the
+// questions of others, from the same TurnStore.
 #pragma once
 
 #include <cstdint>
@@ -25,19 +25,19 @@
  public:
   PeerTurns(net::EventLoop* loop, const Thresholds* thresholds,
             programs::Membership* members, PeerNetwork* network,
-            TurnKeeper* turns);
+            TurnStore* turns);
 
   void     AskForTurn(const std::string&                id,
                       std::function<void(const Turns&)> done) override;
-  ReaderIs AskReader(int partition, const std::string& id, std::size_t rank,
+  ReaderLocation AskReader(int partition, const std::string& id, std::size_t rank,
                      std::function<void(const Lookup&)> done) override;
   bool     AnyReachesLog() const override { return !WhoReachLog().empty(); }
   void     AppendFor(const programs::Turn& turn, Duration retention,
                      std::size_t attempt, AppendDone done) override;
   // The node said that the log does not answer it, or could not append.
-  void     NoteLogAway(const std::string& node);
+  void     MarkLogUnavailable(const std::string& node);
   // Whether it said so lately.
-  bool     LacksLog(const std::string& node) const;
+  bool     ReportedLogUnavailable(const std::string& node) const;
 
   void ServePersist(PeerMessage::Reader message, const PeerNetwork::Reply& reply);
   void ServeFind(PeerMessage::Reader message, const PeerNetwork::Reply& reply);
@@ -59,7 +59,7 @@
   const Thresholds*                     m_thresholds;
   programs::Membership*                 m_members;
   PeerNetwork*                          m_network;
-  TurnKeeper*                           m_turns;
+  TurnStore*                           m_turns;
   // When each node was last without the log.
   std::unordered_map<std::string, Time> m_without_log;
   // When each reader last said that it still reads.
--- a/src/yuccawick/gateway/rate_desk.cc
+++ b/src/yuccawick/gateway/rate_desk.cc
@@ -16,8 +16,8 @@
 using platform::StoreFailure;
 using platform::StoreResult;
 using platform::Topic;
-using workspaces::RateAnswer;
-using workspaces::RateAsk;
+using workspaces::RateResponse;
+using workspaces::RateRequest;
 using workspaces::RateRecord;
 
 // Records before its own first one that a desk reads: some seconds' claims.
@@ -40,11 +40,11 @@
                           kRatePartitions);
 }
 
-std::string RateHomeKey(int partition) {
+std::string RateCoordinatorKey(int partition) {
   return "rates " + std::to_string(partition);
 }
 
-RateDesk::RateDesk(net::EventLoop* loop, const Thresholds* thresholds,
+RateCoordinator::RateCoordinator(net::EventLoop* loop, const Thresholds* thresholds,
                    platform::RecordLog* store, Log* log,
                    std::string incarnation, int partition,
                    const workspaces::RateLedger::LimitLookup& limit_of,
@@ -52,7 +52,7 @@
     : m_loop(loop),
       m_thresholds(thresholds),
       m_store(store),
-      m_health(loop, log, RateHomeKey(partition)),
+      m_health(loop, log, RateCoordinatorKey(partition)),
       m_log(log),
       m_incarnation(std::move(incarnation)),
       m_partition(partition),
@@ -62,7 +62,7 @@
 
 // Asking ---------------------------------------------------------------------
 
-void RateDesk::RequestTokens(const RateAsk& ask, Done done) {
+void RateCoordinator::RequestTokens(const RateRequest& ask, Done done) {
   const std::uint64_t number = ++m_last_question;
   m_waiting.push_back(
       {number, m_home.Submit(ask, m_loop->ReadClock()), std::move(done)});
@@ -74,7 +74,7 @@
   m_loop->After(m_thresholds->rate_answer, [this, number] { GiveUp(number); });
 }
 
-void RateDesk::Serve() {
+void RateCoordinator::Serve() {
   if (m_state != State::kOpen) {
     Open();
     // A call that hangs is tried again until the log is back; who takes this
@@ -84,7 +84,7 @@
   }
   struct Reply {
     Done       done;
-    RateAnswer answer;
+    RateResponse answer;
   };
   std::vector<Reply>   replies;
   std::vector<Waiting> left;
@@ -103,34 +103,34 @@
   for (const Reply& reply : replies) reply.done(reply.answer);
 }
 
-void RateDesk::AnswerUnsure() {
-  RateAnswer unsure;
+void RateCoordinator::AnswerUnsure() {
+  RateResponse unsure;
   unsure.unsure = true;
   for (const Waiting& waiting : std::exchange(m_waiting, {})) {
     waiting.done(unsure);
   }
 }
 
-void RateDesk::GiveUp(std::uint64_t number) {
+void RateCoordinator::GiveUp(std::uint64_t number) {
   const auto found = std::find_if(
       m_waiting.begin(), m_waiting.end(),
       [number](const Waiting& each) { return each.number == number; });
   if (found == m_waiting.end()) return;
   const Done done = std::move(found->done);
   m_waiting.erase(found);
-  RateAnswer unsure;
+  RateResponse unsure;
   unsure.unsure = true;
   done(unsure);
 }
 
-void RateDesk::Sweep() {
+void RateCoordinator::Sweep() {
   m_home.Sweep(m_loop->now());
   if (m_state == State::kOpen && !m_claiming) {
     SendClaim(m_home.NextReleases(m_loop->now()));
   }
 }
 
-void RateDesk::WriteTurnedAway() {
+void RateCoordinator::LogRefusals() {
   for (const auto& use : m_home.TakeRefusalReports(m_loop->now())) {
     m_log->Write(LogEvent::kLimit,
                  {{"workspace", use.workspace},
@@ -145,7 +145,7 @@
 
 // Claiming -------------------------------------------------------------------
 
-void RateDesk::Append(const RateRecord&                                record,
+void RateCoordinator::Append(const RateRecord&                                record,
                       std::function<void(std::optional<std::int64_t>)> done) {
   m_appender.Add(programs::EncodeRate(record),
                  [done = std::move(done)](const Appender::Result& result) {
@@ -157,11 +157,11 @@
 // are. Nodes that do not reach each other take each the others' place: twelve
 // of them, each claiming as soon as its last claim was in, took the log's
 // appends to their limit, and nobody's tokens came in time.
-Duration RateDesk::ClaimPause() const {
+Duration RateCoordinator::ClaimPause() const {
   return std::min(kClaimPause * (1 + m_others), kLongestClaimPause);
 }
 
-void RateDesk::Claim() {
+void RateCoordinator::Claim() {
   if (m_claiming || m_claim_due) return;
   const Duration wait = m_claimed_at + ClaimPause() - m_loop->now();
   if (wait <= 0) {
@@ -176,7 +176,7 @@
   });
 }
 
-void RateDesk::SendClaim(std::vector<workspaces::RateEntry> entries) {
+void RateCoordinator::SendClaim(std::vector<workspaces::RateEntry> entries) {
   if (entries.empty()) return;
   const RateRecord record{m_incarnation, m_last_offset, m_loop->now(),
                           m_last_acked, std::move(entries)};
@@ -187,7 +187,7 @@
   });
 }
 
-void RateDesk::ClaimAppended(const RateRecord& record, Time sent,
+void RateCoordinator::ClaimAppended(const RateRecord& record, Time sent,
                              std::optional<std::int64_t> offset) {
   if (!offset || *offset < m_next || *offset - m_next > kMostBetween) {
     Close();
@@ -207,7 +207,7 @@
       [this, claimed] { TakeClaimed(claimed); });
 }
 
-void RateDesk::TakeClaimed(const Claimed& claimed) {
+void RateCoordinator::TakeClaimed(const Claimed& claimed) {
   m_next = claimed.offset + 1;
   m_claiming = false;
   const workspaces::LoggedRate claim{claimed.offset, claimed.record};
@@ -218,13 +218,13 @@
 
 // Opening and reading --------------------------------------------------------
 
-void RateDesk::Close() {
+void RateCoordinator::Close() {
   m_state = State::kClosed;
   m_claiming = false;
   if (!m_waiting.empty()) Open();
 }
 
-void RateDesk::Open() {
+void RateCoordinator::Open() {
   if (m_state != State::kClosed || m_appender.busy()) return;
   m_state = State::kOpening;
   // Claims nothing; tells where the log ends.
@@ -242,7 +242,7 @@
 
 // Reads the last `count` records before `end`, and more if they do not cover a
 // window. What the log has deleted by age is older than that.
-void RateDesk::ReadBack(std::int64_t end, std::int64_t count) {
+void RateCoordinator::ReadBack(std::int64_t end, std::int64_t count) {
   const auto before = std::make_shared<std::vector<workspaces::LoggedRate>>();
   const std::int64_t from = std::max<std::int64_t>(0, end - count);
   ReadUpTo(
@@ -267,7 +267,7 @@
       });
 }
 
-void RateDesk::ReadUpTo(std::int64_t from, std::int64_t to,
+void RateCoordinator::ReadUpTo(std::int64_t from, std::int64_t to,
                         const TakeRecord&            take,
                         const std::function<void()>& done) {
   if (from >= to) {
@@ -280,7 +280,7 @@
        done](const StoreResult<platform::ReadPage>& result) {
         const bool gone =
             !result && result.error().failure == StoreFailure::kExpired;
-        m_health.Note(result.has_value() || gone, "read");
+        m_health.Observe(result.has_value() || gone, "read");
         // While opening, what was deleted is only not recovered from; later it
         // may be a claim that was never taken.
         if (gone && m_state == State::kOpening && result.error().first > from) {
--- a/src/yuccawick/gateway/rate_desk.h
+++ b/src/yuccawick/gateway/rate_desk.h
@@ -27,32 +27,32 @@
 inline constexpr int kRatePartitions = 4;
 int                  RatePartitionOf(const std::string& workspace);
 // What the homes of a partition are ranked by.
-std::string          RateHomeKey(int partition);
+std::string          RateCoordinatorKey(int partition);
 
-class RateDesk {
+class RateCoordinator {
  public:
-  using Done = std::function<void(const workspaces::RateAnswer&)>;
+  using Done = std::function<void(const workspaces::RateResponse&)>;
 
-  RateDesk(net::EventLoop* loop, const Thresholds* thresholds,
+  RateCoordinator(net::EventLoop* loop, const Thresholds* thresholds,
            platform::RecordLog* store, Log* log, std::string incarnation,
            int partition, const workspaces::RateLedger::LimitLookup& limit_of,
            const workspaces::RateWindow& window);
 
   // `done` is called once, within `rate_answer` ms.
-  void RequestTokens(const workspaces::RateAsk& ask, Done done);
+  void RequestTokens(const workspaces::RateRequest& ask, Done done);
   // Makes ready for questions, so that the first does not wait.
   void Open();
   // Forgets what is old, and gives back what was not used.
   void Sweep();
-  void WriteTurnedAway();
+  void LogRefusals();
 
-  workspaces::RateHome& allocator() { return m_home; }
+  workspaces::RateAllocator& allocator() { return m_home; }
 
  private:
   enum class State : std::uint8_t { kClosed, kOpening, kOpen };
   struct Waiting {
     std::uint64_t                 number = 0;
-    workspaces::RateHome::SubmittedRequest entered;
+    workspaces::RateAllocator::SubmittedRequest entered;
     Done                          done;
   };
   // A claim in the log, behind others that are still to be read.
@@ -89,7 +89,7 @@
   Log*                 m_log;
   std::string          m_incarnation;
   int                  m_partition;
-  workspaces::RateHome m_home;
+  workspaces::RateAllocator m_home;
   Appender             m_appender;
   State                m_state = State::kClosed;
   std::int64_t         m_next = 0;  // offset after what was taken
--- a/src/yuccawick/gateway/room_desk.cc
+++ b/src/yuccawick/gateway/room_desk.cc
@@ -4,13 +4,13 @@
 
 namespace yuccawick::gateway {
 
-using admission::ProgramRoom;
-using admission::RoomUse;
-using admission::TurnAsk;
+using admission::AdmissionController;
+using admission::CapacityUsage;
+using admission::AdmissionRequest;
 
-RoomDesk::RoomDesk(net::EventLoop*                     loop,
+AdmissionService::AdmissionService(net::EventLoop*                     loop,
                    const admission::AdmissionSettings* settings,
-                   fairness::BeginShare* share, Log* log, Metrics* metrics,
+                   fairness::FairnessPolicy* share, Log* log, Metrics* metrics,
                    CapacityLookup room_of)
     : m_loop(loop),
       m_settings(settings),
@@ -20,35 +20,35 @@
       m_room_of(std::move(room_of)),
       m_started(loop->now()) {}
 
-ProgramRoom& RoomDesk::RoomFor(const std::string& service) {
+AdmissionController& AdmissionService::RoomFor(const std::string& service) {
   return m_rooms.try_emplace(service, m_settings, m_share, m_started)
       .first->second;
 }
 
-bool RoomDesk::TryAdmit(const TurnAsk& ask) {
+bool AdmissionService::TryAdmit(const AdmissionRequest& ask) {
   if (ask.service.empty()) return true;
   return RoomFor(ask.service)
       .TryAdmit(ask, m_room_of(ask.service), m_loop->now())
       .admitted;
 }
 
-void RoomDesk::OnTurnEnded(const TurnAsk& ask, std::int64_t used) {
+void AdmissionService::OnTurnEnded(const AdmissionRequest& ask, std::int64_t used) {
   const auto room = m_rooms.find(ask.service);
   if (room != m_rooms.end()) room->second.OnTurnEnded(ask, used, m_loop->now());
 }
 
-void RoomDesk::CancelAdmission(const TurnAsk& ask) {
+void AdmissionService::CancelAdmission(const AdmissionRequest& ask) {
   const auto room = m_rooms.find(ask.service);
   if (room != m_rooms.end()) room->second.CancelAdmission(ask, m_loop->now());
 }
 
-Duration RoomDesk::RetryDelay(const TurnAsk& ask) const {
+Duration AdmissionService::RetryDelay(const AdmissionRequest& ask) const {
   const auto room = m_rooms.find(ask.service);
   if (room == m_rooms.end()) return m_settings->min_retry_delay;
   return room->second.RetryDelay(ask.program, m_loop->now());
 }
 
-RoomDesk::UsageByService RoomDesk::LocalUsageByService() {
+AdmissionService::UsageByService AdmissionService::LocalUsageByService() {
   UsageByService uses;
   for (auto& [service, room] : m_rooms) {
     room.Sweep(m_loop->now());
@@ -57,27 +57,27 @@
   return uses;
 }
 
-void RoomDesk::SetPeerUsage(const std::string& home, const UsageByService& uses) {
+void AdmissionService::SetPeerUsage(const std::string& home, const UsageByService& uses) {
   for (const auto& [service, use] : uses) {
     RoomFor(service).SetPeerUsage(home, use, m_loop->now());
   }
 }
 
-std::vector<fairness::WorkCharge> RoomDesk::TakeCharges() {
+std::vector<fairness::UsageCharge> AdmissionService::TakeCharges() {
   return m_share->TakeUnsent();
 }
 
-void RoomDesk::HearCharges(const std::vector<fairness::WorkCharge>& charges) {
+void AdmissionService::MergePeerCharges(const std::vector<fairness::UsageCharge>& charges) {
   m_share->MergePeer(charges, m_loop->now());
 }
 
-void RoomDesk::WriteUsageLines() {
-  RoomUse here;
+void AdmissionService::WriteUsageLines() {
+  CapacityUsage here;
   for (auto& [service, room] : m_rooms) {
     here += room.LocalUsage();
     const int refused = room.TakeRefusedCount();
     if (room.empty() && refused == 0) continue;
-    const RoomUse total = room.TotalUse(m_loop->now());
+    const CapacityUsage total = room.TotalUse(m_loop->now());
     const auto    holds = m_room_of(service);
     m_log->Write(LogEvent::kRoom,
                  {{"service", service},
--- a/src/yuccawick/gateway/room_desk.h
+++ b/src/yuccawick/gateway/room_desk.h
@@ -1,7 +1,7 @@
 // Carries out admission/program_room.h on a node that is home of programs: one
-// ProgramRoom for each model service, and what other homes said of theirs.
+// AdmissionController for each model service, and what other homes said of theirs.
 //
-// TokenDesk asks it before it claims tokens for a program's first turn, so that
+// TokenCoordinator asks it before it claims tokens for a program's first turn, so that
 // a refused program leaves no trace in the log.
 #pragma once
 
@@ -19,46 +19,46 @@
 using net::Duration;
 using net::Time;
 
-class RoomDesk {
+class AdmissionService {
  public:
   // What a service's model servers hold together now.
   using CapacityLookup =
-      std::function<capacity::ServiceRoom(const std::string& service)>;
-  using UsageByService = std::map<std::string, admission::PartitionUses>;  // by service
+      std::function<capacity::ServiceCapacity(const std::string& service)>;
+  using UsageByService = std::map<std::string, admission::UsageByPartition>;  // by service
 
-  RoomDesk(net::EventLoop* loop, const admission::AdmissionSettings* settings,
-           fairness::BeginShare* share, Log* log, Metrics* metrics,
+  AdmissionService(net::EventLoop* loop, const admission::AdmissionSettings* settings,
+           fairness::FairnessPolicy* share, Log* log, Metrics* metrics,
            CapacityLookup room_of);
 
   // Whether the turn may run; always if it wants no room.
-  bool     TryAdmit(const admission::TurnAsk& ask);
+  bool     TryAdmit(const admission::AdmissionRequest& ask);
   // `used`: tokens that the turn generated.
-  void     OnTurnEnded(const admission::TurnAsk& ask, std::int64_t used);
+  void     OnTurnEnded(const admission::AdmissionRequest& ask, std::int64_t used);
   // It was let in and did not run.
-  void     CancelAdmission(const admission::TurnAsk& ask);
-  Duration RetryDelay(const admission::TurnAsk& ask) const;
+  void     CancelAdmission(const admission::AdmissionRequest& ask);
+  Duration RetryDelay(const admission::AdmissionRequest& ask) const;
 
   // Of the programs counted here, as of now.
   UsageByService LocalUsageByService();
   void SetPeerUsage(const std::string& home, const UsageByService& uses);
   // What turns of workspaces cost here since the last call; and at another
   // home.
-  std::vector<fairness::WorkCharge> TakeCharges();
-  void HearCharges(const std::vector<fairness::WorkCharge>& charges);
+  std::vector<fairness::UsageCharge> TakeCharges();
+  void MergePeerCharges(const std::vector<fairness::UsageCharge>& charges);
   // One line for each service that programs of this home are under way at.
   void WriteUsageLines();
 
  private:
-  admission::ProgramRoom& RoomFor(const std::string& service);
+  admission::AdmissionController& RoomFor(const std::string& service);
 
   net::EventLoop*                               m_loop;
   const admission::AdmissionSettings*           m_settings;
-  fairness::BeginShare*                         m_share;
+  fairness::FairnessPolicy*                         m_share;
   Log*                                          m_log;
   Metrics*                                      m_metrics;
   CapacityLookup                                        m_room_of;
   Time                                          m_started;
-  std::map<std::string, admission::ProgramRoom> m_rooms;  // by service
+  std::map<std::string, admission::AdmissionController> m_rooms;  // by service
 };
 
 }  // namespace yuccawick::gateway
--- a/src/yuccawick/gateway/thresholds.cc
+++ b/src/yuccawick/gateway/thresholds.cc
@@ -10,13 +10,13 @@
 using Field = std::variant<
     Duration Thresholds::*, double Thresholds::*,
     double traffic::PlacementWeights::*, double traffic::Sampling::*,
-    double   traffic::TurnLimitSettings::*,
-    Duration traffic::TurnLimitSettings::*, std::int64_t traffic::Sampling::*,
+    double   traffic::ConcurrencyLimitSettings::*,
+    Duration traffic::ConcurrencyLimitSettings::*, std::int64_t traffic::Sampling::*,
     double   admission::AdmissionSettings::*,
     Duration admission::AdmissionSettings::*,
-    double   fairness::FairBeginSettings::*,
-    Duration fairness::FairBeginSettings::*, double capacity::PaceSettings::*,
-    Duration capacity::PaceSettings::*, double pressure::MemoryBudgetSettings::*,
+    double   fairness::FairShareSettings::*,
+    Duration fairness::FairShareSettings::*, double capacity::SlowdownSettings::*,
+    Duration capacity::SlowdownSettings::*, double pressure::MemoryBudgetSettings::*,
     Duration pressure::MemoryBudgetSettings::*>;
 
 struct Entry {
@@ -29,10 +29,10 @@
 using T = Thresholds;
 using W = traffic::PlacementWeights;
 using S = traffic::Sampling;
-using L = traffic::TurnLimitSettings;
+using L = traffic::ConcurrencyLimitSettings;
 using A = admission::AdmissionSettings;
-using F = fairness::FairBeginSettings;
-using P = capacity::PaceSettings;
+using F = fairness::FairShareSettings;
+using P = capacity::SlowdownSettings;
 using M = pressure::MemoryBudgetSettings;
 
 // Bounds keep a slip of the keyboard from stopping a node; within them every
--- a/src/yuccawick/gateway/thresholds.h
+++ b/src/yuccawick/gateway/thresholds.h
@@ -50,13 +50,13 @@
   traffic::Sampling            sampling;
   // How fast the picture of a server's speed follows what is observed, and
   // from which lasting pace on it is called slow.
-  capacity::PaceSettings       slowdown;
+  capacity::SlowdownSettings       slowdown;
   // How slow first events of model servers show that turns wait there.
-  traffic::TurnLimitSettings   concurrency_limit;
+  traffic::ConcurrencyLimitSettings   concurrency_limit;
   // Which programs may begin while model servers are full.
   admission::AdmissionSettings admission;
   // What programs leave free to others when they begin.
-  fairness::FairBeginSettings  fairness;
+  fairness::FairShareSettings  fairness;
 
   // Requests -----------------------------------------------------------------
   // Given up this long before the client stops listening, so that the answer
--- a/src/yuccawick/gateway/token_desk.cc
+++ b/src/yuccawick/gateway/token_desk.cc
@@ -28,7 +28,7 @@
                           kClaimPartitions);
 }
 
-std::string ClaimHomeKey(int partition) {
+std::string TokenCoordinatorKey(int partition) {
   return "claims " + std::to_string(partition);
 }
 
@@ -38,13 +38,13 @@
   return kNames[static_cast<std::size_t>(outcome)];
 }
 
-TokenDesk::TokenDesk(net::EventLoop* loop, const Thresholds* thresholds,
+TokenCoordinator::TokenCoordinator(net::EventLoop* loop, const Thresholds* thresholds,
                      platform::RecordLog* store, Log* log,
-                     std::string incarnation, int partition, RoomDesk* room)
+                     std::string incarnation, int partition, AdmissionService* room)
     : m_loop(loop),
       m_thresholds(thresholds),
       m_store(store),
-      m_health(loop, log, ClaimHomeKey(partition)),
+      m_health(loop, log, TokenCoordinatorKey(partition)),
       m_log(log),
       m_incarnation(std::move(incarnation)),
       m_partition(partition),
@@ -54,7 +54,7 @@
 
 // Asking ---------------------------------------------------------------------
 
-void TokenDesk::Reserve(const TurnBudget& turn, Done done) {
+void TokenCoordinator::Reserve(const TurnBudget& turn, Done done) {
   const auto [account, added] = m_accounts.try_emplace(
       turn.program, Account{programs::TokenAccount(turn.budget), 0, {}});
   account->second.most = turn.max_tokens;
@@ -66,7 +66,7 @@
   Serve(turn.program);
 }
 
-void TokenDesk::Serve(const std::string& program) {
+void TokenCoordinator::Serve(const std::string& program) {
   struct Answer {
     Done           done;
     ReserveOutcome outcome;
@@ -98,11 +98,11 @@
   for (const Answer& answer : answers) answer.done(answer.outcome);
 }
 
-bool TokenDesk::LetIn(Account* account, Waiting* request) {
+bool TokenCoordinator::LetIn(Account* account, Waiting* request) {
   // Before the claims are read, no program can be told from a new one.
   if (request->let_in || !m_caught_up) return true;
   if (m_room != nullptr) {
-    admission::TurnAsk ask = request->turn.admission_request;
+    admission::AdmissionRequest ask = request->turn.admission_request;
     ask.under_way = ask.under_way || account->begun ||
                     m_ledger.Granted(request->turn.program) > 0;
     if (!m_room->TryAdmit(ask)) return false;
@@ -112,13 +112,13 @@
   return true;
 }
 
-void TokenDesk::Withdraw(const Waiting& request) {
+void TokenCoordinator::Withdraw(const Waiting& request) {
   if (m_room != nullptr && request.let_in) {
     m_room->CancelAdmission(request.turn.admission_request);
   }
 }
 
-std::optional<ReserveOutcome> TokenDesk::Decide(Account*       account,
+std::optional<ReserveOutcome> TokenCoordinator::Decide(Account*       account,
                                                 const Waiting& request) const {
   const programs::Tokens most = request.turn.max_tokens;
   if (account->tokens.Reserve(most) == TokenAnswer::kStart) {
@@ -139,7 +139,7 @@
 
 // A home that waits for the log must not look dead to its asker. The request is
 // forgotten: a claim that comes through for it is given back.
-void TokenDesk::GiveUp(const std::string& program, std::uint64_t number) {
+void TokenCoordinator::GiveUp(const std::string& program, std::uint64_t number) {
   const auto account = m_accounts.find(program);
   if (account == m_accounts.end()) return;
   auto&      waiting = account->second.waiting;
@@ -156,12 +156,12 @@
   done(undecided ? ReserveOutcome::kUnsure : ReserveOutcome::kHold);
 }
 
-std::string TokenDesk::LastServer(const std::string& program) const {
+std::string TokenCoordinator::LastServer(const std::string& program) const {
   const auto found = m_accounts.find(program);
   return found == m_accounts.end() ? std::string() : found->second.server;
 }
 
-void TokenDesk::EndTurn(const TurnBudget& turn, programs::Tokens used,
+void TokenCoordinator::EndTurn(const TurnBudget& turn, programs::Tokens used,
                         const std::string& server) {
   if (m_room != nullptr) m_room->OnTurnEnded(turn.admission_request, used);
   const auto found = m_accounts.find(turn.program);
@@ -177,7 +177,7 @@
 
 // One claim at a time: what a second one should ask for depends on what the
 // first one brings.
-void TokenDesk::Balance(const std::string& program, Account* account) {
+void TokenCoordinator::Balance(const std::string& program, Account* account) {
   if (account->claiming) return;
   if (!m_caught_up) {
     if (!account->waiting.empty()) CatchUp();
@@ -205,14 +205,14 @@
   }
 }
 
-programs::Tokens TokenDesk::Ahead(const Account& account) const {
+programs::Tokens TokenCoordinator::Ahead(const Account& account) const {
   const auto budget = account.tokens.budget();
   const bool small = budget < m_thresholds->ahead_turns * account.most;
   if (small || account.spent) return 0;
   return std::max(account.most, budget / m_thresholds->ahead_divisor);
 }
 
-void TokenDesk::SendClaim(const std::string& program, Account* account,
+void TokenCoordinator::SendClaim(const std::string& program, Account* account,
                           programs::Tokens most, programs::Tokens wish) {
   programs::TokenClaim claim = account->tokens.NextClaim(most);
   claim.wish = std::max(claim.need, wish);
@@ -223,7 +223,7 @@
   SendRecord(std::move(claim));
 }
 
-void TokenDesk::SendRecord(programs::TokenClaim record) {
+void TokenCoordinator::SendRecord(programs::TokenClaim record) {
   record.node = m_incarnation;
   record.before = m_ledger.Granted(record.program);
   std::string encoded = programs::EncodeClaim(record);
@@ -244,7 +244,7 @@
 // made every claim wait for the next reading once a reading had begun: while
 // the log's reads were busy, for 350 ms in place of 12, as long as they stayed
 // so.
-void TokenDesk::RecordAppended(const std::string& record, std::int64_t offset) {
+void TokenCoordinator::RecordAppended(const std::string& record, std::int64_t offset) {
   if (offset < m_next) return;  // a reading was faster
   m_appended.emplace(offset, record);
   if (m_caught_up) TakeAppended();
@@ -254,7 +254,7 @@
   ReadClaims();
 }
 
-void TokenDesk::TakeAppended() {
+void TokenCoordinator::TakeAppended() {
   m_appended.erase(m_appended.begin(), m_appended.lower_bound(m_next));
   while (!m_appended.empty() && m_appended.begin()->first == m_next) {
     const std::string record = std::move(m_appended.begin()->second);
@@ -264,7 +264,7 @@
   }
 }
 
-void TokenDesk::ClaimDecided(std::uint64_t number, programs::Tokens granted) {
+void TokenCoordinator::ClaimDecided(std::uint64_t number, programs::Tokens granted) {
   const auto claim = m_claims.extract(number);
   if (claim.empty()) return;
   const auto& [program, need] = claim.mapped();
@@ -287,7 +287,7 @@
 }
 
 // Nobody was granted or denied anything.
-void TokenDesk::ClaimRefused(std::uint64_t number) {
+void TokenCoordinator::ClaimRefused(std::uint64_t number) {
   const auto claim = m_claims.extract(number);
   if (claim.empty()) return;
   Account& account = m_accounts.at(claim.mapped().program);
@@ -302,11 +302,11 @@
 
 // Before its first claim a desk reads what others claimed: a claim says how
 // much was granted before it, for readers that find older records deleted.
-void TokenDesk::CatchUp() {
+void TokenCoordinator::CatchUp() {
   if (!m_reading) ReadPage();
 }
 
-void TokenDesk::EndCatchUp() {
+void TokenCoordinator::EndCatchUp() {
   if (std::exchange(m_caught_up, true)) return;
   std::vector<std::string> programs;
   for (const auto& [program, account] : m_accounts) programs.push_back(program);
@@ -317,7 +317,7 @@
 
 // The log has deleted records that were not read. What is known of the programs
 // they tell of is out of date; later records say what was granted before them.
-void TokenDesk::SkipTo(std::int64_t first) {
+void TokenCoordinator::SkipTo(std::int64_t first) {
   m_next = first;
   m_ledger = {};
   // Own claims among them are decided, and nobody can say how.
@@ -329,13 +329,13 @@
   ReadPage();
 }
 
-void TokenDesk::ReadClaims() {
+void TokenCoordinator::ReadClaims() {
   if (!m_reading && m_next < m_goal) ReadPage();
 }
 
 // Until the log answers, also if nobody waits for it: a desk that is unsure
 // answers at once and would not learn otherwise that the log is back.
-void TokenDesk::ReadAgain() {
+void TokenCoordinator::ReadAgain() {
   if (std::exchange(m_read_due, true)) return;
   m_loop->After(m_thresholds->log_away_pause, [this] {
     m_read_due = false;
@@ -347,7 +347,7 @@
   });
 }
 
-void TokenDesk::ReadPage() {
+void TokenCoordinator::ReadPage() {
   m_reading = true;
   m_store->Read(Topic::kClaims, m_partition, {m_next, m_pace.bytes()},
                 m_thresholds->log_timeout,
@@ -362,7 +362,7 @@
                   }
                   const bool gone = !result && result.error().failure ==
                                                    StoreFailure::kExpired;
-                  m_health.Note(result.has_value() || gone, "read");
+                  m_health.Observe(result.has_value() || gone, "read");
                   if (gone && result.error().first > m_next) {
                     SkipTo(result.error().first);
                     return;
@@ -381,7 +381,7 @@
                 });
 }
 
-void TokenDesk::TakePage(const platform::ReadPage& page) {
+void TokenCoordinator::TakePage(const platform::ReadPage& page) {
   // Taking a record may start the next reading: not from here again.
   m_reading = true;
   for (const auto& record : page.records) {
@@ -394,7 +394,7 @@
   m_reading = false;
 }
 
-void TokenDesk::TakeRecord(const std::string& record) {
+void TokenCoordinator::TakeRecord(const std::string& record) {
   const auto claim = programs::DecodeClaim(record);
   if (!claim) {
     m_log->Write(LogEvent::kFault, {{"what", "undecodable claim"}});
@@ -408,7 +408,7 @@
 // Giving back ----------------------------------------------------------------
 
 // A little later: the next turn may need it, and one append takes several.
-void TokenDesk::GiveBackSpare() {
+void TokenCoordinator::GiveBackSpare() {
   if (std::exchange(m_give_back_due, true)) return;
   m_loop->After(m_thresholds->give_back_delay, [this] {
     m_give_back_due = false;
@@ -425,7 +425,7 @@
   });
 }
 
-void TokenDesk::GiveBack(const std::string& program, Account* account) {
+void TokenCoordinator::GiveBack(const std::string& program, Account* account) {
   if (account->claiming || !account->waiting.empty()) return;
   const auto spare = account->tokens.ReleaseUnused();
   if (spare <= 0) return;
@@ -437,11 +437,11 @@
   SendRecord(std::move(back));
 }
 
-void TokenDesk::ReleaseAllUnused() {
+void TokenCoordinator::ReleaseAllUnused() {
   for (auto& [program, account] : m_accounts) GiveBack(program, &account);
 }
 
-void TokenDesk::Sweep() {
+void TokenCoordinator::Sweep() {
   const Time now = m_loop->now();
   m_ledger.Expire(now);
   std::erase_if(m_accounts, [now](const auto& entry) {
--- a/src/yuccawick/gateway/token_desk.h
+++ b/src/yuccawick/gateway/token_desk.h
@@ -42,7 +42,7 @@
 inline constexpr int kClaimPartitions = 8;
 int                  ClaimPartitionOf(const std::string& program);
 // What the homes of a partition are ranked by.
-std::string          ClaimHomeKey(int partition);
+std::string          TokenCoordinatorKey(int partition);
 
 enum class ReserveOutcome : std::uint8_t {
   kUnsure,  // the log does not answer
@@ -57,18 +57,18 @@
   std::string        program;
   programs::Tokens   budget = 0;  // of the program
   programs::Tokens   max_tokens = 0;    // that the turn may generate
-  admission::TurnAsk admission_request = {};   // that it wants at model servers
+  admission::AdmissionRequest admission_request = {};   // that it wants at model servers
 };
 
-class TokenDesk {
+class TokenCoordinator {
  public:
   using Done = std::function<void(ReserveOutcome)>;
 
   // One desk counts the programs whose claims lie in one partition. `room`:
   // decides which of them may begin; nullptr: all.
-  TokenDesk(net::EventLoop* loop, const Thresholds* thresholds,
+  TokenCoordinator(net::EventLoop* loop, const Thresholds* thresholds,
             platform::RecordLog* store, Log* log, std::string incarnation,
-            int partition, RoomDesk* room = nullptr);
+            int partition, AdmissionService* room = nullptr);
 
   // `done` is called once, within `home_answer` ms.
   void        Reserve(const TurnBudget& turn, Done done);
@@ -83,7 +83,7 @@
   // Forgets programs that were idle for long.
   void        Sweep();
 
-  Duration LogAwayFor() const { return m_health.UnavailableFor(); }
+  Duration LogUnavailableFor() const { return m_health.UnavailableFor(); }
   int      partition() const { return m_partition; }
 
  private:
@@ -151,8 +151,8 @@
   int                                          m_partition;
   programs::TokenLedger                        m_ledger;
   Appender                                     m_appender;
-  RoomDesk*                                    m_room;
-  programs::ReadPace                           m_pace{platform::kPageBytes};
+  AdmissionService*                                    m_room;
+  programs::AdaptiveReadSize                           m_pace{platform::kPageBytes};
   std::unordered_map<std::string, Account>     m_accounts;  // by program
   std::unordered_map<std::uint64_t, OpenClaim> m_claims;    // by number
   std::unordered_map<std::string, Time> m_spare;  // programs that may have some
--- a/src/yuccawick/gateway/turn_gate.cc
+++ b/src/yuccawick/gateway/turn_gate.cc
@@ -2,13 +2,13 @@
 
 namespace yuccawick::gateway {
 
-TurnGate::Service* TurnGate::ServiceOf(const std::string& name) {
+TurnDispatcher::Service* TurnDispatcher::ServiceOf(const std::string& name) {
   const auto entry =
-      m_services.try_emplace(name, Service{traffic::TurnLimit(m_settings), {}});
+      m_services.try_emplace(name, Service{traffic::ConcurrencyLimit(m_settings), {}});
   return &entry.first->second;
 }
 
-TurnGate::Id TurnGate::Enqueue(const std::string& service, double place,
+TurnDispatcher::Id TurnDispatcher::Enqueue(const std::string& service, double place,
                              Duration objective, Go go) {
   const Id id = ++m_last;
   Service* of = ServiceOf(service);
@@ -18,7 +18,7 @@
   return id;
 }
 
-void TurnGate::LetGo(Service* service) {
+void TurnDispatcher::LetGo(Service* service) {
   while (!service->waiting.empty() &&
          service->limit.MayStart(service->under_way, m_loop->now())) {
     const auto first = service->waiting.begin();
@@ -30,14 +30,14 @@
   }
 }
 
-void TurnGate::FirstEvent(Id id) {
+void TurnDispatcher::FirstEvent(Id id) {
   const auto found = m_turns.find(id);
   if (found == m_turns.end() || found->second.sent == 0) return;
   found->second.service->limit.Observe(m_loop->now() - found->second.sent,
                                        found->second.objective, m_loop->now());
 }
 
-void TurnGate::Release(Id* id) {
+void TurnDispatcher::Release(Id* id) {
   const auto found = m_turns.find(std::exchange(*id, 0));
   if (found == m_turns.end()) return;
   const Turn turn = found->second;
@@ -51,11 +51,11 @@
   m_loop->Defer([this, service = turn.service] { LetGo(service); });
 }
 
-void TurnGate::Sweep() {
+void TurnDispatcher::Sweep() {
   for (auto& [name, service] : m_services) LetGo(&service);
 }
 
-std::size_t TurnGate::waiting() const {
+std::size_t TurnDispatcher::waiting() const {
   std::size_t count = 0;
   for (const auto& [name, service] : m_services)
     count += service.waiting.size();
--- a/src/yuccawick/gateway/turn_gate.h
+++ b/src/yuccawick/gateway/turn_gate.h
@@ -19,12 +19,12 @@
 using net::Duration;
 using net::Time;
 
-class TurnGate {
+class TurnDispatcher {
  public:
   using Id = std::uint64_t;  // 0 names no turn
   using Go = std::function<void()>;
 
-  TurnGate(net::EventLoop* loop, const traffic::TurnLimitSettings& settings)
+  TurnDispatcher(net::EventLoop* loop, const traffic::ConcurrencyLimitSettings& settings)
       : m_loop(loop), m_settings(settings) {}
 
   // `service`: whose servers the turn is for. `objective`: within what time its
@@ -40,7 +40,7 @@
  private:
   using Place = std::pair<double, Id>;  // the earlier one first among equals
   struct Service {
-    traffic::TurnLimit  limit;
+    traffic::ConcurrencyLimit  limit;
     std::map<Place, Go> waiting;
     int                 under_way = 0;
   };
@@ -54,7 +54,7 @@
   void     LetGo(Service* service);
 
   net::EventLoop*                          m_loop;
-  traffic::TurnLimitSettings               m_settings;
+  traffic::ConcurrencyLimitSettings               m_settings;
   std::unordered_map<std::string, Service> m_services;
   std::unordered_map<Id, Turn>             m_turns;
   Id                                       m_last = 0;
--- a/src/yuccawick/gateway/turn_keeper.cc
+++ b/src/yuccawick/gateway/turn_keeper.cc
@@ -21,7 +21,7 @@
 
 }  // namespace
 
-TurnKeeper::TurnKeeper(net::EventLoop* loop, const Thresholds* thresholds,
+TurnStore::TurnStore(net::EventLoop* loop, const Thresholds* thresholds,
                        platform::RecordLog* store, Log* log, Metrics* metrics,
                        const std::string& incarnation)
     : m_loop(loop),
@@ -35,20 +35,20 @@
   }
 }
 
-void TurnKeeper::Sweep() {
+void TurnStore::Sweep() {
   m_history.Expire(m_loop->now());
   m_reader.Sweep();
 }
 
 // Finding --------------------------------------------------------------------
 
-void TurnKeeper::Find(const std::string& id, const std::string& program,
+void TurnStore::Find(const std::string& id, const std::string& program,
                       FindDone done) {
   // A turn usually continues one of its own program, whose partition is known.
   Search({id, PartitionOf(program), std::move(done)});
 }
 
-void TurnKeeper::Search(const Question& question) {
+void TurnStore::Search(const Question& question) {
   const std::string missing = m_history.Missing(question.id);
   if (missing.empty()) {
     question.done(FindOutcome::kFound);
@@ -68,7 +68,7 @@
   }
 }
 
-void TurnKeeper::SearchOwnPartition(const Question&    question,
+void TurnStore::SearchOwnPartition(const Question&    question,
                                     const std::string& missing) {
   const auto looked = [this, question, missing](bool complete) {
     if (m_history.Missing(question.id) == missing) {
@@ -80,7 +80,7 @@
   LookIn({question.partition, missing, looked});
 }
 
-void TurnKeeper::SearchOthers(const Question&    question,
+void TurnStore::SearchOthers(const Question&    question,
                               const std::string& missing, bool first_complete) {
   auto       open = std::make_shared<int>(kTurnPartitions - 1);
   auto       complete = std::make_shared<bool>(first_complete);
@@ -104,7 +104,7 @@
 
 // Only the log can rule a turn out, and only the one that was asked for: an
 // ancestor that the log does not have any more says nothing about it.
-void TurnKeeper::EndSearch(const Question& question, const std::string& missing,
+void TurnStore::EndSearch(const Question& question, const std::string& missing,
                            bool complete) {
   m_log->Write(LogEvent::kScan, {{"asked_for", question.id},
                                  {"missing", missing},
@@ -116,7 +116,7 @@
   }
 }
 
-void TurnKeeper::AskPeers(const Question&    question,
+void TurnStore::AskPeers(const Question&    question,
                           const std::string& missing) {
   m_peers->AskForTurn(missing,
                       [this, question, missing](const TurnPeers::Turns& turns) {
@@ -129,35 +129,35 @@
                       });
 }
 
-void TurnKeeper::TakeTurns(const std::vector<programs::Turn>& turns) {
+void TurnStore::TakeTurns(const std::vector<programs::Turn>& turns) {
   for (const programs::Turn& turn : turns) {
     m_history.Add(turn, m_loop->now(), m_reader.retention() + kRetentionSlack);
   }
 }
 
-void TurnKeeper::LookIn(const Look& look) {
+void TurnStore::LookIn(const Look& look) {
   const auto answered = [this, look](const TurnPeers::Lookup& lookup) {
     TakeLookup(look, lookup);
   };
   switch (m_peers->AskReader(look.partition, look.id, look.rank, answered)) {
-    case ReaderIs::kAnother:
+    case ReaderLocation::kAnother:
       break;
-    case ReaderIs::kSelf:
+    case ReaderLocation::kSelf:
       ScanHere(look);
       break;
-    case ReaderIs::kNobody:
+    case ReaderLocation::kNobody:
       look.done(false);
       break;
   }
 }
 
-void TurnKeeper::LookAtNext(Look look) {
+void TurnStore::LookAtNext(Look look) {
   ++look.rank;
   look.tries = kReaderTries;
   LookIn(look);
 }
 
-void TurnKeeper::TakeLookup(const Look& look, const TurnPeers::Lookup& lookup) {
+void TurnStore::TakeLookup(const Look& look, const TurnPeers::Lookup& lookup) {
   TakeTurns(lookup.turns);
   if (lookup.answered && (lookup.complete || m_history.Holds(look.id))) {
     look.done(lookup.complete);
@@ -170,7 +170,7 @@
   }
 }
 
-void TurnKeeper::ScanHere(const Look& look) {
+void TurnStore::ScanHere(const Look& look) {
   m_reader.Scan(
       look.partition,
       [this, look](bool complete) {
@@ -185,11 +185,11 @@
 
 // Keeping --------------------------------------------------------------------
 
-bool TurnKeeper::MayKeep() const {
+bool TurnStore::CanPersist() const {
   return m_reader.UnavailableFor() == 0 || m_peers->AnyReachesLog();
 }
 
-int TurnKeeper::PlaceFrom(int first) const {
+int TurnStore::PlaceFrom(int first) const {
   for (int i = 0; i < kTurnPartitions; ++i) {
     const int partition = (first + i) % kTurnPartitions;
     if (!m_reader.IsUnavailable(partition)) return partition;
@@ -197,11 +197,11 @@
   return first;
 }
 
-void TurnKeeper::Append(const programs::Turn& turn, int partition,
+void TurnStore::Append(const programs::Turn& turn, int partition,
                         const Appender::Wanted& wanted, PlacedDone done) {
   const auto records = programs::EncodeTurn(turn);
   auto       left = std::make_shared<std::size_t>(records.size());
-  auto kept = std::make_shared<std::optional<LogPlace>>(LogPlace{partition});
+  auto kept = std::make_shared<std::optional<LogPosition>>(LogPosition{partition});
   const auto appended =
       [left, kept, done = std::move(done)](const Appender::Result& result) {
         if (!result) {
@@ -217,34 +217,34 @@
   }
 }
 
-void TurnKeeper::Close(const KeepingPtr& keeping) {
+void TurnStore::Close(const KeepingPtr& keeping) {
   if (!std::exchange(keeping->open, false)) return;
   --m_unkept;
   keeping->done = nullptr;
 }
 
-void TurnKeeper::Settle(const KeepingPtr& keeping, const LogPlace& kept) {
+void TurnStore::Settle(const KeepingPtr& keeping, const LogPosition& kept) {
   if (!keeping->open) return;
   const PersistDone done = std::move(keeping->done);
   Close(keeping);
   m_history.Add(keeping->turn, m_loop->now(),
                 keeping->retention + kRetentionSlack);
-  m_metrics->CountTurnKept(kept.by_peer);
-  m_metrics->ObserveTurnKept(
+  m_metrics->CountTurnPersisted(kept.by_peer);
+  m_metrics->ObserveTurnPersisted(
       static_cast<double>(m_loop->now() - keeping->began) / kMillisPerSecond);
   done(kept);
 }
 
-void TurnKeeper::Send(const KeepingPtr& keeping) {
+void TurnStore::Send(const KeepingPtr& keeping) {
   keeping->tried.insert(keeping->partition);
   Append(
       keeping->turn, keeping->partition, [keeping] { return keeping->open; },
-      [this, keeping](std::optional<LogPlace> kept) {
+      [this, keeping](std::optional<LogPosition> kept) {
         if (kept) Settle(keeping, *kept);
       });
 }
 
-void TurnKeeper::Persist(const programs::Turn& turn, Duration retention,
+void TurnStore::Persist(const programs::Turn& turn, Duration retention,
                       Time until, PersistDone done) {
   const int  place = PlaceFrom(PartitionOf(turn.program));
   const Time now = m_loop->now();
@@ -262,7 +262,7 @@
 // one by one, and that this one does is known only after a timeout: so the next
 // one is taken whatever is known of this one. A turn that lies in the log twice
 // is the same turn.
-void TurnKeeper::TryElsewhere(const KeepingPtr& keeping) {
+void TurnStore::TryElsewhere(const KeepingPtr& keeping) {
   if (!keeping->open) return;
   const auto again = [this, keeping](Duration pause) {
     m_loop->After(pause, [this, keeping] { TryElsewhere(keeping); });
@@ -278,7 +278,7 @@
     return;
   }
   m_peers->AppendFor(keeping->turn, keeping->retention, keeping->relays++,
-                     [this, keeping, again](std::optional<LogPlace> place) {
+                     [this, keeping, again](std::optional<LogPosition> place) {
                        if (place) {
                          Settle(keeping, *place);
                        } else {
@@ -287,10 +287,10 @@
                      });
 }
 
-void TurnKeeper::PersistForPeer(const programs::Turn& turn, Duration retention,
+void TurnStore::PersistForPeer(const programs::Turn& turn, Duration retention,
                          TurnPeers::AppendDone done) {
   auto       waiting = std::make_shared<TurnPeers::AppendDone>(std::move(done));
-  const auto answer = [waiting](std::optional<LogPlace> kept) {
+  const auto answer = [waiting](std::optional<LogPosition> kept) {
     if (const auto told = std::exchange(*waiting, nullptr)) told(kept);
   };
   // An asker that hears nothing would take this node for lost.
@@ -298,7 +298,7 @@
   Append(
       turn, PlaceFrom(PartitionOf(turn.program)),
       [waiting] { return *waiting != nullptr; },
-      [this, turn, retention, answer](std::optional<LogPlace> kept) {
+      [this, turn, retention, answer](std::optional<LogPosition> kept) {
         if (kept) {
           m_history.Add(turn, m_loop->now(), retention + kRetentionSlack);
         }
--- a/src/yuccawick/gateway/turn_keeper.h
+++ b/src/yuccawick/gateway/turn_keeper.h
@@ -42,7 +42,7 @@
 // 350 ms for theirs.
 inline constexpr std::size_t kReadersOfZone = 2;
 
-enum class ReaderIs : std::uint8_t { kAnother, kSelf, kNobody };
+enum class ReaderLocation : std::uint8_t { kAnother, kSelf, kNobody };
 
 enum class FindOutcome : std::uint8_t {
   kFound,
@@ -51,7 +51,7 @@
 };
 
 // Where the log holds a turn.
-struct LogPlace {
+struct LogPosition {
   int          partition = -1;
   std::int64_t offset = -1;      // of the append that carried it
   bool         by_peer = false;  // the log did not answer this node
@@ -73,22 +73,22 @@
     bool  reading = false;   // not yet; ask again
     Turns turns;
   };
-  virtual ReaderIs AskReader(int partition, const std::string& id,
+  virtual ReaderLocation AskReader(int partition, const std::string& id,
                              std::size_t                        rank,
                              std::function<void(const Lookup&)> done) = 0;
   // A node that the log seems to answer, as far as is known here.
   virtual bool     AnyReachesLog() const = 0;
   // Has such nodes append the turn, others at each attempt, from 0 on; nothing
   // if there is no such node or none could.
-  using AppendDone = std::function<void(std::optional<LogPlace>)>;
+  using AppendDone = std::function<void(std::optional<LogPosition>)>;
   virtual void AppendFor(const programs::Turn& turn, Duration retention,
                          std::size_t attempt, AppendDone done) = 0;
 };
 
-class TurnKeeper {
+class TurnStore {
  public:
   // `incarnation` names this start of the node among all that append turns.
-  TurnKeeper(net::EventLoop* loop, const Thresholds* thresholds,
+  TurnStore(net::EventLoop* loop, const Thresholds* thresholds,
              platform::RecordLog* store, Log* log, Metrics* metrics,
              const std::string& incarnation);
   void SetPeers(TurnPeers* peers) { m_peers = peers; }
@@ -97,7 +97,7 @@
   using FindDone = std::function<void(FindOutcome)>;
   void Find(const std::string& id, const std::string& program, FindDone done);
 
-  using PersistDone = std::function<void(const LogPlace&)>;
+  using PersistDone = std::function<void(const LogPosition&)>;
   // `done` once the log has acknowledged the turn; never, if it does not by
   // `until`. Nobody is told of such a turn's end, so it need not be kept then.
   void Persist(const programs::Turn& turn, Duration retention, Time until,
@@ -107,12 +107,12 @@
                TurnPeers::AppendDone done);
   // Whether a turn that ends now could be kept: a partition answers this node,
   // or some other node.
-  bool MayKeep() const;
+  bool CanPersist() const;
 
   TurnReader&            reader() { return m_reader; }
   programs::TurnHistory& history() { return m_history; }
   // Turns of this node whose clients wait for the log.
-  std::size_t            unkept() const { return m_unkept; }
+  std::size_t            pending_persists() const { return m_unkept; }
   // Forgets old turns and looks for partitions that were away. Call often.
   void                   Sweep();
 
@@ -161,12 +161,12 @@
   int  PlaceFrom(int first) const;
   // Appends all records of a turn; `done` with the place of the first, or
   // nothing if the log refused one.
-  using PlacedDone = std::function<void(std::optional<LogPlace>)>;
+  using PlacedDone = std::function<void(std::optional<LogPosition>)>;
   void Append(const programs::Turn& turn, int partition,
               const Appender::Wanted& wanted, PlacedDone done);
   void Send(const KeepingPtr& keeping);
   void TryElsewhere(const KeepingPtr& keeping);
-  void Settle(const KeepingPtr& keeping, const LogPlace& kept);
+  void Settle(const KeepingPtr& keeping, const LogPosition& kept);
   // The turn is kept, or nobody waits for it any more.
   void Close(const KeepingPtr& keeping);
 
--- a/src/yuccawick/gateway/turn_reader.cc
+++ b/src/yuccawick/gateway/turn_reader.cc
@@ -114,7 +114,7 @@
           ReadPart(partition, true);
           return;
         }
-        scan.health->Note(result.has_value(), "read");
+        scan.health->Observe(result.has_value(), "read");
         if (result) {
           TakePage(partition, *result);
         } else {
@@ -127,7 +127,7 @@
 // turn among them may still be owed; after a turn's retention none is.
 void TurnReader::SkipTo(int partition, std::int64_t from, std::int64_t first) {
   ScanState& scan = ScanOf(partition);
-  scan.health->Note(true, "read");
+  scan.health->Observe(true, "read");
   if (first <= from) {
     End(partition, false);
     return;
@@ -249,7 +249,7 @@
         const bool gone =
             !result && result.error().failure == StoreFailure::kExpired;
         ScanOf(place.partition)
-            .health->Note(result.has_value() || gone, "fetch");
+            .health->Observe(result.has_value() || gone, "fetch");
         if (gone) m_places.erase(id);
         if (!result || result->records.empty()) {
           done();
@@ -297,7 +297,7 @@
                   const bool gone = !result && result.error().failure ==
                                                    StoreFailure::kExpired;
                   if (result) scan.probed_end = result->end;
-                  scan.health->Note(result.has_value() || gone, "probe");
+                  scan.health->Observe(result.has_value() || gone, "probe");
                 });
 }
 
--- a/src/yuccawick/gateway/turn_reader.h
+++ b/src/yuccawick/gateway/turn_reader.h
@@ -127,7 +127,7 @@
   platform::RecordLog*   m_store;
   Log*                   m_log;
   programs::TurnHistory* m_history;
-  programs::ReadPace     m_pace{platform::kPageBytes};     // of all scans
+  programs::AdaptiveReadSize     m_pace{platform::kPageBytes};     // of all scans
   std::vector<ScanState> m_scans;                          // by partition
   std::unordered_map<std::string, Place>        m_places;  // by turn
   std::map<std::pair<int, std::string>, Pieces> m_pieces;  // partition, turn
--- a/src/yuccawick/pressure/memory_budget.cc
+++ b/src/yuccawick/pressure/memory_budget.cc
@@ -20,7 +20,7 @@
 }  // namespace
 
 std::string_view Name(MemoryKind held) {
-  constexpr std::array<std::string_view, kHeldCount> kNames{
+  constexpr std::array<std::string_view, kMemoryKindCount> kNames{
       "requests", "to_clients", "to_servers", "turns"};
   return kNames[static_cast<std::size_t>(held)];
 }
@@ -79,13 +79,13 @@
   m_total += to - from;
 }
 
-void Holding::Set(std::size_t bytes) {
+void MemoryCharge::Set(std::size_t bytes) {
   if (bytes == m_bytes) return;
   m_budget->Change(m_kind, m_bytes, bytes);
   m_bytes = bytes;
 }
 
-std::size_t ReaderToDrop(const std::vector<ClientBuffer>& readers,
+std::size_t ChooseClientToDrop(const std::vector<ClientBuffer>& readers,
                          Duration                   patience) {
   std::size_t drop = kNoClient;
   for (std::size_t i = 0; i < readers.size(); ++i) {
--- a/src/yuccawick/pressure/memory_budget.h
+++ b/src/yuccawick/pressure/memory_budget.h
@@ -1,6 +1,6 @@
 // How much memory a node holds for others, and what it still takes on.
 //
-// Whoever holds bytes for a client, a server or a program keeps a Holding of
+// Whoever holds bytes for a client, a server or a program keeps a MemoryCharge of
 // its kind and says how many; its destructor gives them back, whichever way the
 // request ends. Ask MayTake() before a body is read.
 //
@@ -37,7 +37,7 @@
   kTurns,      // of programs, kept in memory
   kCount,
 };
-inline constexpr std::size_t kHeldCount =
+inline constexpr std::size_t kMemoryKindCount =
     static_cast<std::size_t>(MemoryKind::kCount);
 std::string_view Name(MemoryKind held);
 
@@ -92,7 +92,7 @@
   }
 
  private:
-  friend class Holding;
+  friend class MemoryCharge;
   void  Change(MemoryKind kind, std::size_t from, std::size_t to);
   PressureLevel LevelNow() const;
   bool  Above(double share) const;
@@ -100,7 +100,7 @@
   MemoryBudgetSettings                      m_settings;
   std::size_t                         m_bound;
   std::size_t                         m_total = 0;
-  std::array<std::size_t, kHeldCount> m_held{};
+  std::array<std::size_t, kMemoryKindCount> m_held{};
   PressureLevel                               m_level = PressureLevel::kCalm;
   Time                                m_risen_at = 0;  // to this level or above
 };
@@ -109,13 +109,13 @@
 using MemoryBudgetPtr = std::shared_ptr<MemoryBudget>;
 
 // What one object holds of one kind.
-class Holding final : public net::BufferMeter {
+class MemoryCharge final : public net::BufferMeter {
  public:
-  Holding(MemoryBudgetPtr budget, MemoryKind kind)
+  MemoryCharge(MemoryBudgetPtr budget, MemoryKind kind)
       : m_budget(std::move(budget)), m_kind(kind) {}
-  ~Holding() override { Set(0); }
-  Holding(const Holding&) = delete;
-  Holding& operator=(const Holding&) = delete;
+  ~MemoryCharge() override { Set(0); }
+  MemoryCharge(const MemoryCharge&) = delete;
+  MemoryCharge& operator=(const MemoryCharge&) = delete;
 
   void        Set(std::size_t bytes) override;
   std::size_t bytes() const { return m_bytes; }
@@ -135,6 +135,6 @@
 inline constexpr std::size_t kNoClient = std::numeric_limits<std::size_t>::max();
 // Whom a full node lets go: of those that took nothing for `patience`, the one
 // for which most waits; an index into `readers`, or kNobody.
-std::size_t ReaderToDrop(const std::vector<ClientBuffer>& readers, Duration patience);
+std::size_t ChooseClientToDrop(const std::vector<ClientBuffer>& readers, Duration patience);
 
 }  // namespace yuccawick::pressure
--- a/src/yuccawick/programs/membership.h
+++ b/src/yuccawick/programs/membership.h
@@ -23,7 +23,7 @@
 using net::Time;
 
 // Of a node that does not say: a whole core.
-inline constexpr std::uint32_t kUsualCapacity = 1000;
+inline constexpr std::uint32_t kDefaultMillicores = 1000;
 
 struct NodeInfo {
   std::string   name;         // of the VM; stays over restarts
@@ -31,7 +31,7 @@
   net::Endpoint address;      // for other nodes
   std::string   zone;
   // What the node can carry against others, in thousandths of a core.
-  std::uint32_t millicores = kUsualCapacity;
+  std::uint32_t millicores = kDefaultMillicores;
 
   bool operator==(const NodeInfo&) const = default;
 };
--- a/src/yuccawick/programs/read_pace.h
+++ b/src/yuccawick/programs/read_pace.h
@@ -24,9 +24,9 @@
 // Mbit/s 70.
 inline constexpr net::Duration kQuickRead = 150;
 
-class ReadPace {
+class AdaptiveReadSize {
  public:
-  explicit ReadPace(std::size_t most) : m_most(most), m_bytes(most) {}
+  explicit AdaptiveReadSize(std::size_t most) : m_most(most), m_bytes(most) {}
 
   std::size_t bytes() const { return m_bytes; }
   void        Answered(net::Duration took) {
--- a/src/yuccawick/programs/record.cc
+++ b/src/yuccawick/programs/record.cc
@@ -179,7 +179,7 @@
     const auto capacity = reader.getCapacity();
     return NodeInfo{name, Text(reader.getIncarnation()),
                     address.value_or(net::Endpoint{}), Text(reader.getZone()),
-                    capacity > 0 ? capacity : kUsualCapacity};
+                    capacity > 0 ? capacity : kDefaultMillicores};
   });
   return node && node->address.port != 0 ? node : std::nullopt;
 }
--- a/src/yuccawick/traffic/attempt.cc
+++ b/src/yuccawick/traffic/attempt.cc
@@ -30,7 +30,7 @@
   return kPhases[static_cast<std::size_t>(phase)];
 }
 
-std::string_view Name(LossCause cause) {
+std::string_view Name(SendFailureCause cause) {
   constexpr std::array<std::string_view, 4> kNames{"not_connected", "not_run",
                                                    "broken", "bad_answer"};
   return kNames[static_cast<std::size_t>(cause)];
@@ -42,7 +42,7 @@
   return kNames[static_cast<std::size_t>(step)];
 }
 
-NextStep AfterLoss(const Route& route, const SendFailure& loss) {
+NextStep DecideNextStep(const Route& route, const SendFailure& loss) {
   const bool certain = loss.cause == SendFailureCause::kNotConnected ||
                        loss.cause == SendFailureCause::kNotRun;
   const bool may_have_run = loss.in_doubt || !certain;
--- a/src/yuccawick/traffic/attempt.h
+++ b/src/yuccawick/traffic/attempt.h
@@ -1,6 +1,6 @@
 // What follows when sending a request to a backend server comes to nothing.
 //
-// The phases of an attempt stand in charts/attempt.chart. AfterLoss() is the
+// The phases of an attempt stand in charts/attempt.chart. DecideNextStep() is the
 // one place that decides whether a request may be sent again and what the
 // caller is told, from what is certain about the server:
 //
@@ -41,16 +41,16 @@
 const AttemptChart& GetAttemptChart();
 std::string_view    Name(AttemptPhase phase);
 
-enum class LossCause : std::uint8_t {
+enum class SendFailureCause : std::uint8_t {
   kNotConnected,
   kNotRun,
   kBroken,     // the connection ended or failed in the middle
   kBadAnswer,  // bytes that are no answer to this request
 };
-std::string_view Name(LossCause cause);
+std::string_view Name(SendFailureCause cause);
 
 struct SendFailure {
-  LossCause cause = SendFailureCause::kBroken;
+  SendFailureCause cause = SendFailureCause::kBroken;
   int       servers_sent = 0;      // distinct servers that were sent it
   int       repeats = 0;           // sends after the first
   bool      in_doubt = false;      // some send of it may have run
@@ -69,7 +69,7 @@
 };
 std::string_view Name(NextStep step);
 
-NextStep AfterLoss(const Route& route, const SendFailure& loss);
+NextStep DecideNextStep(const Route& route, const SendFailure& loss);
 
 // Sends after the first that one attempt may cost, whatever the route allows.
 inline constexpr int      kMaxRepeats = 3;
--- a/src/yuccawick/traffic/outage_wait.cc
+++ b/src/yuccawick/traffic/outage_wait.cc
@@ -17,13 +17,13 @@
 
 }  // namespace
 
-Duration OutageWait(const OutageSettings& settings, Duration left) {
+Duration OutageHoldTime(const OutageSettings& settings, Duration left) {
   return std::clamp<Duration>(Part(settings.hold_share, left), 0,
                               settings.hold);
 }
 
-Duration OutageReturn(Duration left, double draw) {
-  const double share = kHeededShare * (1.0 - kSpread * draw);
+Duration OutageRetryDelay(Duration left, double draw) {
+  const double share = kMaxRetryDelayShare * (1.0 - kSpread * draw);
   return std::max<Duration>(1, Part(share, left));
 }
 
--- a/src/yuccawick/traffic/outage_wait.h
+++ b/src/yuccawick/traffic/outage_wait.h
@@ -20,11 +20,11 @@
 };
 
 // Clients heed a time to come back up to this part of what they have left.
-inline constexpr double kHeededShare = 1.0 / 3.0;
+inline constexpr double kMaxRetryDelayShare = 1.0 / 3.0;
 
 // `left`: of the client's time when its request came, in ms.
-net::Duration OutageWait(const OutageSettings& settings, net::Duration left);
+net::Duration OutageHoldTime(const OutageSettings& settings, net::Duration left);
 // `left`: of the client's time; `draw`: uniform in [0, 1), spreads returns.
-net::Duration OutageReturn(net::Duration left, double draw);
+net::Duration OutageRetryDelay(net::Duration left, double draw);
 
 }  // namespace yuccawick::traffic
--- a/src/yuccawick/traffic/outcomes.cc
+++ b/src/yuccawick/traffic/outcomes.cc
@@ -26,7 +26,7 @@
   return {m_counts.answers * rest, m_counts.failures * rest};
 }
 
-void Outcomes::Note(bool failed, Time now) {
+void Outcomes::Observe(bool failed, Time now) {
   m_counts = At(now);
   m_as_of = now;
   m_counts.answers += 1.0;
--- a/src/yuccawick/traffic/outcomes.h
+++ b/src/yuccawick/traffic/outcomes.h
@@ -25,7 +25,7 @@
 
 class Outcomes {
  public:
-  void          Note(bool failed, Time now);
+  void          Observe(bool failed, Time now);
   OutcomeCounts At(Time now) const;
 
  private:
--- a/src/yuccawick/traffic/placement.cc
+++ b/src/yuccawick/traffic/placement.cc
@@ -115,7 +115,7 @@
                     std::max(weights.cold_prefix, weights.cold_most));
 }
 
-void LeaveSome(std::vector<Candidate>* candidates, const Sampling& sampling,
+void SampleCandidates(std::vector<Candidate>* candidates, const Sampling& sampling,
                std::mt19937_64* random) {
   if (static_cast<std::int64_t>(candidates->size()) <= sampling.few) return;
   std::bernoulli_distribution stays(sampling.share);
--- a/src/yuccawick/traffic/placement.h
+++ b/src/yuccawick/traffic/placement.h
@@ -79,7 +79,7 @@
 // than a turn at its start: if all looked at all servers, they would all find
 // the same one idle, and fill it before they hear of each other. The one that
 // holds the prefix stays.
-void LeaveSome(std::vector<Candidate>* candidates, const Sampling& sampling,
+void SampleCandidates(std::vector<Candidate>* candidates, const Sampling& sampling,
                std::mt19937_64* random);
 
 enum class PlacementKind : std::uint8_t {
--- a/src/yuccawick/traffic/refusal.cc
+++ b/src/yuccawick/traffic/refusal.cc
@@ -36,7 +36,7 @@
   return kRows[static_cast<std::size_t>(refusal)].status;
 }
 
-bool InvitesReturn(Refusal refusal) {
+bool IsRetriable(Refusal refusal) {
   return kRows[static_cast<std::size_t>(refusal)].invites_return;
 }
 
--- a/src/yuccawick/traffic/refusal.h
+++ b/src/yuccawick/traffic/refusal.h
@@ -41,6 +41,6 @@
 std::string_view Name(Refusal refusal);
 int              Status(Refusal refusal);
 // Refusals after which the same request may be sent again later.
-bool             InvitesReturn(Refusal refusal);
+bool             IsRetriable(Refusal refusal);
 
 }  // namespace yuccawick::traffic
--- a/src/yuccawick/traffic/server_pool.cc
+++ b/src/yuccawick/traffic/server_pool.cc
@@ -40,9 +40,9 @@
 }
 
 std::vector<const BackendServer*> ServerPool::Around(const std::string& program,
-                                                     HomeReach          reach,
+                                                     AffinityScope          reach,
                                                      std::size_t most) const {
-  const Ring& ring = reach == HomeReach::kZone ? m_zone_ring : m_ring;
+  const Ring& ring = reach == AffinityScope::kZone ? m_zone_ring : m_ring;
   std::vector<const BackendServer*> around;
   const auto                        first = std::lower_bound(
                              ring.begin(), ring.end(), PositionOf(program),
--- a/src/yuccawick/traffic/turn_limit.cc
+++ b/src/yuccawick/traffic/turn_limit.cc
@@ -23,7 +23,7 @@
 
 }  // namespace
 
-std::optional<double> TurnLimit::Median() const {
+std::optional<double> ConcurrencyLimit::Median() const {
   if (m_samples.size() < kFewSamples) return std::nullopt;
   std::vector<double> shares;
   shares.reserve(m_samples.size());
@@ -34,14 +34,14 @@
   return *middle;
 }
 
-void TurnLimit::Observe(Duration took, Duration objective, Time now) {
+void ConcurrencyLimit::Observe(Duration took, Duration objective, Time now) {
   if (objective <= 0) return;
   m_samples.push_back(
       {now, static_cast<double>(took) / static_cast<double>(objective)});
   if (m_samples.size() > kMostSamples) m_samples.pop_front();
 }
 
-void TurnLimit::Adapt(int under_way, Time now) {
+void ConcurrencyLimit::Adapt(int under_way, Time now) {
   if (m_settings.engage <= 0 || now < m_adapt_at) return;
   while (!m_samples.empty() && now - m_samples.front().at > kSampleMemory) {
     m_samples.pop_front();
@@ -61,12 +61,12 @@
   m_bounded = m_limit <= kUnbounded * (under_way + 1);
 }
 
-bool TurnLimit::MayStart(int under_way, Time now) {
+bool ConcurrencyLimit::MayStart(int under_way, Time now) {
   Adapt(under_way, now);
   return !m_bounded || under_way < m_limit;
 }
 
-double PlaceOf(std::string_view program, int priority,
+double QueueRank(std::string_view program, int priority,
                std::optional<Duration> left) {
   const auto   hash = XXH3_64bits(program.data(), program.size());
   const double place = std::ldexp(static_cast<double>(hash), -64);
--- a/src/yuccawick/traffic/turn_limit.h
+++ b/src/yuccawick/traffic/turn_limit.h
@@ -8,14 +8,14 @@
 // and nearly all programs miss their time, also those that came before the
 // burst. Turns therefore wait here, where the order can still be chosen.
 //
-// TurnLimit finds by itself how many may be under way. The operator says within
+// ConcurrencyLimit finds by itself how many may be under way. The operator says within
 // what time a first event is to come. Once most take longer, turns wait at
 // servers for too long, and fewer are sent until they come well within it. No
 // node needs to know what others send: all see the same servers grow slow.
 // While first events are in time nothing is held: all programs have time enough
 // to share the wait.
 //
-// PlaceOf() orders those that wait. Each program has a place of its own, by its
+// QueueRank() orders those that wait. Each program has a place of its own, by its
 // id, the same at every node and for all its turns: what the servers carry goes
 // to the programs in front, which end in time, and not a little to each.
 // Programs past their time come last; they go on when the burst is over.
@@ -33,8 +33,8 @@
 using net::Duration;
 using net::Time;
 
-// What TurnLimit may be told; times in ms.
-struct TurnLimitSettings {
+// What ConcurrencyLimit may be told; times in ms.
+struct ConcurrencyLimitSettings {
   // First events as shares of their objective: above the first the limit sets
   // in, and from then on it holds them at the second. 0: it never sets in. It
   // helps where a burst is far above what the servers carry, and costs where
@@ -46,9 +46,9 @@
   double   least = 2;  // turns that may always be under way
 };
 
-class TurnLimit {
+class ConcurrencyLimit {
  public:
-  explicit TurnLimit(const TurnLimitSettings& settings)
+  explicit ConcurrencyLimit(const ConcurrencyLimitSettings& settings)
       : m_settings(settings) {}
 
   // A turn's first event came so long after it was sent; `objective`: within
@@ -68,7 +68,7 @@
   void                  Adapt(int under_way, Time now);
   std::optional<double> Median() const;
 
-  TurnLimitSettings  m_settings;
+  ConcurrencyLimitSettings  m_settings;
   std::deque<Sample> m_samples;
   double             m_limit = 0;
   bool               m_bounded = false;
@@ -77,7 +77,7 @@
 
 // Lower goes first. `priority`: 0 is first. `left`: until the program should be
 // finished, in ms; nothing: it does not say.
-double PlaceOf(std::string_view program, int priority,
+double QueueRank(std::string_view program, int priority,
                std::optional<Duration> left);
 
 }  // namespace yuccawick::traffic
--- a/src/yuccawick/traffic/urgency.cc
+++ b/src/yuccawick/traffic/urgency.cc
@@ -18,7 +18,7 @@
 
 }  // namespace
 
-int UrgencyOf(int priority, std::optional<net::Duration> left) {
+int ComputeUrgency(int priority, std::optional<net::Duration> left) {
   const int first = kLevelsPerPriority * std::max(priority, 0);
   return std::min(first + LevelOf(left), kLeastUrgent);
 }
--- a/src/yuccawick/traffic/urgency.h
+++ b/src/yuccawick/traffic/urgency.h
@@ -27,6 +27,6 @@
 
 // `left`: until the program should be finished, in ms; nothing: it does not
 // say, and counts as having all the time.
-int UrgencyOf(int priority, std::optional<net::Duration> left);
+int ComputeUrgency(int priority, std::optional<net::Duration> left);
 
 }  // namespace yuccawick::traffic
--- a/src/yuccawick/workspaces/rate_home.cc
+++ b/src/yuccawick/workspaces/rate_home.cc
@@ -42,13 +42,13 @@
 
 }  // namespace
 
-void ProgramBook::Note(ProgramHash program, std::int64_t taken, Time now) {
+void ProgramDemand::Observe(ProgramHash program, std::int64_t taken, Time now) {
   Program& noted = m_programs[program];
   noted.seen = now;
   noted.taken += taken;
 }
 
-double ProgramBook::Committed(Time now) {
+double ProgramDemand::Committed(Time now) {
   if (m_committed_at >= 0 && now - m_committed_at < kCommittedAge) {
     return m_committed;
   }
@@ -63,7 +63,7 @@
   return m_committed;
 }
 
-void ProgramBook::Sweep(Time now, bool whole) {
+void ProgramDemand::Sweep(Time now, bool whole) {
   std::erase_if(m_programs, [this, now, whole](const auto& entry) {
     if (now - entry.second.seen < kEndedAfter) return false;
     if (!whole) return true;
@@ -75,36 +75,36 @@
   });
 }
 
-RateHome::State& RateHome::StateOf(const std::string& workspace) {
+RateAllocator::State& RateAllocator::StateOf(const std::string& workspace) {
   return m_states.try_emplace(workspace, &m_typical).first->second;
 }
 
-double RateHome::LongRun(const RateLimit& limit) const {
+double RateAllocator::LongRun(const RateLimit& limit) const {
   return Allowance(limit, m_window) * kMillisPerSecond /
          static_cast<double>(m_ledger.Span());
 }
 
-std::int64_t RateHome::Extra(const std::string& workspace,
+std::int64_t RateAllocator::Extra(const std::string& workspace,
                              const RateLimit& limit, Time now) const {
   const double left = m_ledger.Remaining(workspace, now);
   if (left < kPlentyShare * Allowance(limit, m_window)) return 0;
   return static_cast<std::int64_t>(std::min(kMostExtra, kExtraShare * left));
 }
 
-bool RateHome::IsScarce(const std::string& workspace, const RateLimit& limit,
+bool RateAllocator::IsScarce(const std::string& workspace, const RateLimit& limit,
                         Time now) const {
   return m_ledger.Remaining(workspace, now) <
          kScarceShare * Allowance(limit, m_window);
 }
 
-double RateHome::Free(const std::string& workspace, State* state,
+double RateAllocator::Free(const std::string& workspace, State* state,
                       Time now) const {
   return m_ledger.Remaining(workspace, now + kLookAhead) +
          static_cast<double>(state->pool.Available(now)) -
          state->programs.Committed(now);
 }
 
-Duration RateHome::NextReturn(State* state, const RateLimit& limit,
+Duration RateAllocator::NextReturn(State* state, const RateLimit& limit,
                               Time now) const {
   const double   pause = m_typical / LongRun(limit) * kMillisPerSecond;
   const Duration wait =
@@ -113,7 +113,7 @@
   return std::clamp<Duration>(wait, 1, kLongestReturn);
 }
 
-RateHome::SubmittedRequest RateHome::Submit(const RateAsk& ask, Time now) {
+RateAllocator::SubmittedRequest RateAllocator::Submit(const RateRequest& ask, Time now) {
   SubmittedRequest    entered{ask.workspace, ask.want, ask.waiting, false};
   const auto limit = m_limit_of(ask.workspace);
   if (!limit) {
@@ -122,8 +122,8 @@
   }
   State& state = StateOf(ask.workspace);
   state.used = now;
-  for (const RateAsk::Step& step : ask.steps) {
-    state.programs.Note(step.program, step.tokens, now);
+  for (const RateRequest::Step& step : ask.steps) {
+    state.programs.Observe(step.program, step.tokens, now);
   }
   entered.may_go_on.clear();
   // A limit may be smaller than what a program usually needs.
@@ -139,7 +139,7 @@
       }
       free -= needed;
     }
-    state.programs.Note(program, 0, now);
+    state.programs.Observe(program, 0, now);
     entered.may_go_on.push_back(program);
   }
   entered.need += static_cast<int>(entered.may_go_on.size());
@@ -148,8 +148,8 @@
   return entered;
 }
 
-std::optional<RateAnswer> RateHome::TryRespond(const SubmittedRequest& entered, Time now) {
-  RateAnswer answer;
+std::optional<RateResponse> RateAllocator::TryRespond(const SubmittedRequest& entered, Time now) {
+  RateResponse answer;
   answer.may_go_on = entered.may_go_on;
   const auto limit = m_limit_of(entered.workspace);
   if (!limit) {
@@ -160,7 +160,7 @@
   State& state = StateOf(entered.workspace);
   answer.scarce = IsScarce(entered.workspace, *limit, now);
   if (entered.refused) {
-    answer.begin_retry = NextReturn(&state, *limit, now);
+    answer.new_program_retry_delay = NextReturn(&state, *limit, now);
   }
   if (entered.need == 0) return answer;
   const auto extra = Extra(entered.workspace, *limit, now);
@@ -185,11 +185,11 @@
   answer.retry_delay = std::min(
       kLongestReturn,
       m_ledger.TimeUntilRemaining(entered.workspace, 1, now).value_or(kLongestReturn));
-  answer.begin_retry = std::max(answer.begin_retry, answer.retry_delay);
+  answer.new_program_retry_delay = std::max(answer.new_program_retry_delay, answer.retry_delay);
   return answer;
 }
 
-void RateHome::TakeUnused(const std::string& workspace, State* state, Time now,
+void RateAllocator::TakeUnused(const std::string& workspace, State* state, Time now,
                           std::vector<RateEntry>* entries) {
   for (const TokenPool::Batch& ended : state->pool.TakeExpired(now)) {
     entries->push_back({workspace, -ended.tokens, ended.origin});
@@ -199,7 +199,7 @@
   }
 }
 
-std::int64_t RateHome::Lacking(const std::string& workspace, State* state,
+std::int64_t RateAllocator::Lacking(const std::string& workspace, State* state,
                                const RateLimit& limit, Duration pause,
                                Time now) const {
   const auto   pool = static_cast<double>(state->pool.Available(now));
@@ -213,7 +213,7 @@
       std::floor(std::min(m_ledger.Remaining(workspace, now), wish)));
 }
 
-std::vector<RateEntry> RateHome::NextClaim(Duration pause, Time now) {
+std::vector<RateEntry> RateAllocator::NextClaim(Duration pause, Time now) {
   std::vector<RateEntry> claims;
   // First, so that what is given back is there for the claims behind it.
   std::vector<RateEntry> entries;
@@ -229,7 +229,7 @@
   return entries;
 }
 
-std::vector<RateEntry> RateHome::NextReleases(Time now) {
+std::vector<RateEntry> RateAllocator::NextReleases(Time now) {
   std::vector<RateEntry> entries;
   for (auto& [workspace, state] : m_states) {
     TakeUnused(workspace, &state, now, &entries);
@@ -237,8 +237,8 @@
   return entries;
 }
 
-void RateHome::OnGranted(const LoggedRate& claim, Time sent, Time now) {
-  const Time until = sent + kRateHold;
+void RateAllocator::OnGranted(const LoggedRate& claim, Time sent, Time now) {
+  const Time until = sent + kRateTokenLifetime;
   for (const RateEntry& entry : claim.record.entries) {
     if (entry.tokens < 0 || !m_limit_of(entry.workspace)) continue;
     const double lacking = std::max(0.0, -m_ledger.Remaining(entry.workspace, now));
@@ -248,7 +248,7 @@
   }
 }
 
-void RateHome::Sweep(Time now) {
+void RateAllocator::Sweep(Time now) {
   m_ledger.Sweep(now);
   for (auto& [workspace, state] : m_states) {
     state.programs.Sweep(now, now - state.refused_at > kWholeAfter);
@@ -258,7 +258,7 @@
   });
 }
 
-std::vector<RateHome::RefusalReport> RateHome::TakeRefusalReports(Time now) {
+std::vector<RateAllocator::RefusalReport> RateAllocator::TakeRefusalReports(Time now) {
   std::vector<RefusalReport> uses;
   for (auto& [workspace, state] : m_states) {
     const auto limit = m_limit_of(workspace);
--- a/src/yuccawick/workspaces/rate_home.h
+++ b/src/yuccawick/workspaces/rate_home.h
@@ -31,7 +31,7 @@
 using ProgramHash = std::uint64_t;
 
 // What a node asks for one workspace.
-struct RateAsk {
+struct RateRequest {
   struct Step {
     ProgramHash  program = 0;
     std::int64_t tokens = 0;
@@ -47,14 +47,14 @@
   std::vector<RateEntry>   unused;
 };
 
-struct RateAnswer {
+struct RateResponse {
   bool unsure = false;  // nothing can be granted or refused now
   int  tokens = 0;
   std::vector<ProgramHash> may_go_on;  // programs of those that wait
   std::int64_t origin = -1;      // of the tokens, to tell what ends unused
   Duration     valid = 0;        // ms, of the tokens, from when it was asked
   Duration     retry_delay = 0;        // ms until there may be a token
-  Duration     begin_retry = 0;  // ms until a program may begin
+  Duration     new_program_retry_delay = 0;  // ms until a program may begin
   bool         scarce = false;   // ask before any program begins
   bool         plenty = false;   // ask ahead of need: nobody else lacks tokens
 };
@@ -63,15 +63,15 @@
 //
 // A limit holds a new program if what will be left of it within the next second
 // covers what those under way still need, and the new one whole.
-class ProgramBook {
+class ProgramDemand {
  public:
   // `typical`: requests that a program needs; shared by all workspaces of a
   // home, since few programs of a small one end.
-  explicit ProgramBook(double* typical) : m_typical(typical) {}
+  explicit ProgramDemand(double* typical) : m_typical(typical) {}
 
   bool Knows(ProgramHash program) const { return m_programs.contains(program); }
   // The program took so many tokens; 0: it begins.
-  void Note(ProgramHash program, std::int64_t taken, Time now);
+  void Observe(ProgramHash program, std::int64_t taken, Time now);
   // Tokens that those under way still need.
   double Committed(Time now);
   // Forgets those that have ended. `whole`: none was refused a token lately,
@@ -89,9 +89,9 @@
   Time                                     m_committed_at = -1;
 };
 
-class RateHome {
+class RateAllocator {
  public:
-  RateHome(const RateLedger::LimitLookup& limit_of, const RateWindow& window)
+  RateAllocator(const RateLedger::LimitLookup& limit_of, const RateWindow& window)
       : m_limit_of(limit_of), m_window(window), m_ledger(limit_of, window) {}
 
   RateLedger& ledger() { return m_ledger; }
@@ -103,8 +103,8 @@
     std::vector<ProgramHash> may_go_on;
     bool                     refused = false;  // some programs
   };
-  SubmittedRequest                   Submit(const RateAsk& ask, Time now);
-  std::optional<RateAnswer> TryRespond(const SubmittedRequest& entered, Time now);
+  SubmittedRequest                   Submit(const RateRequest& ask, Time now);
+  std::optional<RateResponse> TryRespond(const SubmittedRequest& entered, Time now);
   // Entries of the next claim; none: enough is at hand.
   // `pause`: ms until there can be another.
   std::vector<RateEntry>    NextClaim(Duration pause, Time now);
@@ -134,7 +134,7 @@
     explicit State(double* typical) : programs(typical) {}
     TokenPool              pool;
     RateMeter              demand{kDemandMemory};
-    ProgramBook            programs;
+    ProgramDemand            programs;
     std::vector<RateEntry> unused;           // to be given back
     Time                   next_return = 0;  // of a program turned away
     Time                   refused_at = 0;   // a token, last
--- a/src/yuccawick/workspaces/rate_ledger.h
+++ b/src/yuccawick/workspaces/rate_ledger.h
@@ -23,7 +23,7 @@
 //     that its claimer sent is the least that has passed since. So after a
 //     restart of all nodes nobody waits for a window to pass.
 //
-// Tokens are good for kRateHold from when their claim was sent. What is used
+// Tokens are good for kRateTokenLifetime from when their claim was sent. What is used
 // within a window was claimed within it or that long before, so that claims are
 // counted for that much longer.
 #pragma once
@@ -46,7 +46,7 @@
 
 // For how long a token may be held, in ms: a home claims for what it expects
 // within some calls of the log, and a node asks for the next few requests.
-inline constexpr Duration kRateHold = 1000;
+inline constexpr Duration kRateTokenLifetime = 1000;
 
 // How the operator measures limits.
 struct RateWindow {
@@ -57,7 +57,7 @@
   double   slack = 0;
 };
 
-// Requests that may be claimed within a window and kRateHold. Most of what is
+// Requests that may be claimed within a window and kRateTokenLifetime. Most of what is
 // tolerated is used: one program of a small workspace is as much as its limit.
 // The rest is for requests that are sent twice.
 double Allowance(const RateLimit& limit, const RateWindow& window);
@@ -105,7 +105,7 @@
   std::optional<Duration> TimeUntilRemaining(const std::string& workspace, double tokens,
                                     Time now) const;
   // How long a claim counts, in ms.
-  Duration                Span() const { return m_window.length + kRateHold; }
+  Duration                Span() const { return m_window.length + kRateTokenLifetime; }
   void                    Sweep(Time now);
 
  private:
--- a/tests/admission_test.cc
+++ b/tests/admission_test.cc
@@ -17,24 +17,24 @@
 namespace {
 
 using admission::AdmissionSettings;
-using admission::ProgramRoom;
-using admission::RoomUse;
+using admission::AdmissionController;
+using admission::CapacityUsage;
 using admission::Tokens;
-using admission::TurnAsk;
-using capacity::ServiceRoom;
+using admission::AdmissionRequest;
+using capacity::ServiceCapacity;
 using net::Duration;
 using net::Time;
 
 constexpr int         kServers = 8;
 constexpr int         kSlots = 6;
 constexpr Tokens      kServerMemory = 46'000;
-constexpr ServiceRoom kRoom{kServers, kServers* kSlots,
+constexpr ServiceCapacity kRoom{kServers, kServers* kSlots,
                             kServers* kServerMemory};
 
 constexpr Duration kLeft = 4000;
 
-TurnAsk AskOf(int program, Tokens prompt = 600) {
-  TurnAsk ask;
+AdmissionRequest AskOf(int program, Tokens prompt = 600) {
+  AdmissionRequest ask;
   ask.program = std::to_string(program);
   ask.service = "s";
   ask.route = "r";
@@ -142,7 +142,7 @@
     if (!admission) m_settings.slot_overcommit = 0;
     for (int i = 0; i < kHomes; ++i) {
       m_homes.push_back(
-          std::make_unique<ProgramRoom>(&m_settings, &m_share, -10'000));
+          std::make_unique<AdmissionController>(&m_settings, &m_share, -10'000));
     }
   }
 
@@ -180,7 +180,7 @@
     return m_programs.emplace_back(program);
   }
 
-  ProgramRoom& HomeOf(const Program& program) {
+  AdmissionController& HomeOf(const Program& program) {
     return *m_homes[static_cast<std::size_t>(program.number % kHomes)];
   }
 
@@ -195,7 +195,7 @@
   }
 
   void Ask(Program* program) {
-    TurnAsk ask = AskOf(program->number, program->Prompt());
+    AdmissionRequest ask = AskOf(program->number, program->Prompt());
     ask.under_way = program->begun;
     ask.left = program->due - m_now;
     ask.partition = program->number % kHomes;
@@ -233,8 +233,8 @@
 
   std::mt19937                              m_random;
   AdmissionSettings                         m_settings;
-  fairness::EqualShare                      m_share;
-  std::vector<std::unique_ptr<ProgramRoom>> m_homes;
+  fairness::FirstComePolicy                      m_share;
+  std::vector<std::unique_ptr<AdmissionController>> m_homes;
   std::array<Server, kServers>              m_servers;
   std::deque<Program>                       m_programs;
   Time                                      m_now = 0;
@@ -275,7 +275,7 @@
     settings.slot_overcommit = 0.6;  // of the time that is taken for needed at first
   }
 
-  bool Ask(const TurnAsk& ask, Time now) {
+  bool Ask(const AdmissionRequest& ask, Time now) {
     return room.TryAdmit(ask, kRoom, now).admitted;
   }
   // Programs `first` and on begin until one is refused; returns which.
@@ -286,15 +286,15 @@
   }
 
   AdmissionSettings    settings;
-  fairness::EqualShare share;
-  ProgramRoom          room;
+  fairness::FirstComePolicy share;
+  AdmissionController          room;
 };
 
 // A busy home is killed: its programs' next turns reach one that knows nothing.
 Test(Admission, HomeLost_TheNextCountsItsPrograms) {
   Home next;
   for (int i = 0; i < kServers * kSlots; ++i) {
-    TurnAsk ask = AskOf(i);
+    AdmissionRequest ask = AskOf(i);
     ask.under_way = true;
     cr_assert(next.Ask(ask, 0));
   }
@@ -318,7 +318,7 @@
   home.room.Sweep(300);
   cr_assert_eq(home.room.LocalUsage().programs, begun);
   home.room.Sweep(300 + 2 * home.settings.default_think_time);
-  cr_assert_eq(home.room.LocalUsage(), RoomUse());
+  cr_assert_eq(home.room.LocalUsage(), CapacityUsage());
 }
 
 // A program that was taken for ended goes on, in servers that are full.
@@ -344,13 +344,13 @@
   Home home;
   home.Fill(0, 0);
   home.room.Sweep(120'000);
-  cr_assert_eq(home.room.LocalUsage(), RoomUse());
+  cr_assert_eq(home.room.LocalUsage(), CapacityUsage());
 }
 
 // Those who were sent away come back among many that ask for the first time.
 Test(Admission, RefusedProgramReturns_GoesBeforeNewOnes) {
   Home    home;
-  TurnAsk refused = AskOf(home.Fill(0, 0));
+  AdmissionRequest refused = AskOf(home.Fill(0, 0));
   cr_assert(!home.Ask(refused, 0));
   const Time back = home.room.RetryDelay(refused.program, 0);
   home.room.OnTurnEnded(AskOf(0), 100, back);
@@ -363,7 +363,7 @@
 Test(Admission, ProgramTooLate_WaitsForMoreRoom) {
   Home      home;
   const int begun = home.Fill(0, 0);
-  TurnAsk   late = AskOf(begun);
+  AdmissionRequest   late = AskOf(begun);
   late.left = -1;
   home.room.OnTurnEnded(AskOf(0), 100, 10);
   cr_assert(!home.Ask(late, 10));
@@ -391,7 +391,7 @@
     a.Ask(AskOf(i), i);
     b.Ask(AskOf(i), i);
   }
-  const RoomUse own = a.room.LocalUsage();
+  const CapacityUsage own = a.room.LocalUsage();
   a.room.SetPeerUsage("b", b.room.LocalUsageByPartition(), 10);
   cr_assert_eq(a.room.TotalUse(10).memory, own.memory);
   cr_assert_eq(a.room.TotalUse(10).programs, own.programs);
@@ -415,7 +415,7 @@
     home.room.OnTurnEnded(AskOf(0, 600 + i), 100, 1000);
   cr_assert_eq(home.room.LocalUsage().programs, 1);
   home.room.Sweep(1000 + 3 * home.settings.default_think_time);
-  cr_assert_eq(home.room.LocalUsage(), RoomUse());
+  cr_assert_eq(home.room.LocalUsage(), CapacityUsage());
 }
 
 // Programs that pause for long hold the memory while the servers are idle.
