--- a/tests/affinity_test.cc
+++ b/tests/affinity_test.cc
@@ -13,8 +13,8 @@
 
 using traffic::BackendServer;
 using traffic::Candidate;
-using traffic::HomeReach;
-using traffic::LikelyHome;
+using traffic::AffinityScope;
+using traffic::PreferredServer;
 
 constexpr int          kServers = 15;         // of a zone
 constexpr std::int64_t kLongPrompt = 15'000;  // tokens
@@ -62,7 +62,7 @@
     const std::string warm =
         lines.contains(program)
             ? lines[program]
-            : LikelyHome(program, candidates, HomeReach::kZone);
+            : PreferredServer(program, candidates, AffinityScope::kZone);
     for (Candidate& candidate : candidates) {
       candidate.local_load = loads[candidate.server->id];
       candidate.holds_prefix = candidate.server->id == warm;
@@ -108,9 +108,9 @@
   fewer.erase(fewer.begin());
   for (int i = 0; i < 100; ++i) {
     const std::string before =
-        LikelyHome(ProgramName(i), candidates, HomeReach::kZone);
+        PreferredServer(ProgramName(i), candidates, AffinityScope::kZone);
     const std::string after =
-        LikelyHome(ProgramName(i), fewer, HomeReach::kZone);
+        PreferredServer(ProgramName(i), fewer, AffinityScope::kZone);
     cr_expect(after == before || before == servers.front().id);
   }
 }
@@ -120,7 +120,7 @@
   const auto                 candidates = CandidatesOf(servers);
   std::map<std::string, int> homes;
   for (int i = 0; i < 100 * kServers; ++i) {
-    ++homes[LikelyHome(ProgramName(i), candidates, HomeReach::kZone)];
+    ++homes[PreferredServer(ProgramName(i), candidates, AffinityScope::kZone)];
   }
   for (const auto& [server, count] : homes) {
     cr_expect(count > 60 && count < 150, "%s: %d", server.c_str(), count);
@@ -129,7 +129,7 @@
 
 Test(Affinity, NoServerInTheZone_NobodyIsPreferred) {
   const auto servers = MakeServers("b");
-  cr_expect(LikelyHome("p", CandidatesOf(servers), HomeReach::kZone).empty());
+  cr_expect(PreferredServer("p", CandidatesOf(servers), AffinityScope::kZone).empty());
 }
 
 // Whether a turn stays at the server that holds its prompt, which is fuller
@@ -158,8 +158,8 @@
   // long prompt is then read again by each zone's home; a short one costs less
   // than its bytes between zones.
   const traffic::PlacementWeights weights;
-  cr_expect(ReachFor(kLongPrompt, 0, weights) == HomeReach::kAllZones);
-  cr_expect(ReachFor(kShortPrompt, 0, weights) == HomeReach::kZone);
+  cr_expect(ChooseAffinityScope(kLongPrompt, 0, weights) == AffinityScope::kAllZones);
+  cr_expect(ChooseAffinityScope(kShortPrompt, 0, weights) == AffinityScope::kZone);
   const auto here = MakeServers("a");
   auto       servers = MakeServers("b");
   servers.insert(servers.end(), here.begin(), here.end());
@@ -168,8 +168,8 @@
   for (Candidate& each : seen_from_b) each.same_zone = !each.same_zone;
   for (int i = 0; i < 50; ++i) {
     const std::string program = ProgramName(i);
-    cr_expect(LikelyHome(program, seen_from_a, HomeReach::kAllZones) ==
-              LikelyHome(program, seen_from_b, HomeReach::kAllZones));
+    cr_expect(PreferredServer(program, seen_from_a, AffinityScope::kAllZones) ==
+              PreferredServer(program, seen_from_b, AffinityScope::kAllZones));
   }
 }
 
--- a/tests/capacity_test.cc
+++ b/tests/capacity_test.cc
@@ -10,9 +10,9 @@
 namespace yuccawick::tests {
 namespace {
 
-using capacity::PaceScale;
-using capacity::PaceSettings;
-using capacity::ServerPace;
+using capacity::SlowdownBaseline;
+using capacity::SlowdownSettings;
+using capacity::ServerSlowdown;
 using net::Time;
 
 constexpr double kEvent = 44;  // ms between two events at the median
@@ -22,20 +22,20 @@
 // Servers of one service as one node sees them.
 struct Observer {
   explicit Observer(std::size_t servers)
-      : paces(servers, ServerPace(PaceSettings())) {}
+      : paces(servers, ServerSlowdown(SlowdownSettings())) {}
 
   void See(std::size_t server, double took, Time now) {
     const auto seen = scale.Compare("", took, paces[server].At(now), now);
     if (seen) paces[server].Observe(*seen, now);
   }
   void Recenter() {
-    std::vector<ServerPace*> all;
-    for (ServerPace& pace : paces) all.push_back(&pace);
+    std::vector<ServerSlowdown*> all;
+    for (ServerSlowdown& pace : paces) all.push_back(&pace);
     scale.Recenter(all);
   }
 
-  PaceScale               scale;
-  std::vector<ServerPace> paces;
+  SlowdownBaseline               scale;
+  std::vector<ServerSlowdown> paces;
 };
 
 // Two of three servers are fast, and the work of one event differs by a fifth.
@@ -54,7 +54,7 @@
   observer->Recenter();
 }
 
-Test(ServerPace, ServersDifferInSpeed_EachIsKnownInMediansOfTheService) {
+Test(ServerSlowdown, ServersDifferInSpeed_EachIsKnownInMediansOfTheService) {
   Observer        observer(15);
   std::mt19937_64 random(1);
   Watch(&observer, 0, 5 * kSecond, &random);
@@ -67,7 +67,7 @@
   }
 }
 
-Test(ServerPace, MostWorkGoesToFastServers_MedianIsStillThatOfTheServers) {
+Test(ServerSlowdown, MostWorkGoesToFastServers_MedianIsStillThatOfTheServers) {
   Observer        observer(3);
   std::mt19937_64 random(1);
   for (Time now = 0; now < 5 * kSecond; now += kGap) {
@@ -81,7 +81,7 @@
   cr_expect_float_eq(observer.paces[2].Lasting().factor, 2.0, 0.4);
 }
 
-Test(ServerPace, SpellOfSlowWork_ShowsWithin150MsAndIsForgottenAsFast) {
+Test(ServerSlowdown, SpellOfSlowWork_ShowsWithin150MsAndIsForgottenAsFast) {
   // The first slow event comes late itself; the others of the turns that run
   // there follow. Then the work is as before.
   Observer        observer(5);
@@ -106,7 +106,7 @@
   cr_expect_lt(observer.paces[0].Lasting().factor, 1.4);
 }
 
-Test(ServerPace, NoWorkAfterASpell_IsForgottenByAge) {
+Test(ServerSlowdown, NoWorkAfterASpell_IsForgottenByAge) {
   // Placement avoids a slow server, so nothing comes that could show its end.
   Observer        observer(5);
   std::mt19937_64 random(1);
@@ -118,19 +118,19 @@
   cr_expect_lt(observer.paces[0].At(5800), 1.35);
 }
 
-Test(ServerPace, NewServer_BeginsAtTheMedian) {
+Test(ServerSlowdown, NewServer_BeginsAtTheMedian) {
   Observer        observer(6);
   std::mt19937_64 random(1);
   Watch(&observer, 0, 5 * kSecond, &random);
   // As after a new start, also under the name that it had.
-  observer.paces[2] = ServerPace(PaceSettings());
+  observer.paces[2] = ServerSlowdown(SlowdownSettings());
   cr_expect_float_eq(observer.paces[2].At(5 * kSecond), 1.0, 1e-9);
   cr_expect_not(observer.paces[2].slow());
   observer.Recenter();
   cr_expect_float_eq(observer.paces[2].At(5 * kSecond), 1.0, 1e-9);
 }
 
-Test(ServerPace, CallsWhoseWorkDiffersByTenTimes_ShowNoSpells) {
+Test(ServerSlowdown, CallsWhoseWorkDiffersByTenTimes_ShowNoSpells) {
   Observer                            observer(22);
   std::mt19937_64                     random(1);
   std::lognormal_distribution<double> differs(0.0, 0.9);
@@ -145,13 +145,13 @@
   }
   observer.Recenter();
   cr_expect_lt(misjudged, judged / 50, "%d of %d", misjudged, judged);
-  for (ServerPace& pace : observer.paces) {
+  for (ServerSlowdown& pace : observer.paces) {
     pace.UpdateSlow();
     cr_expect_not(pace.slow());
   }
 }
 
-Test(ServerPace, NeighboursThatBeganApart_AgreeOnceTheyTellEachOther) {
+Test(ServerSlowdown, NeighboursThatBeganApart_AgreeOnceTheyTellEachOther) {
   // One has seen only the fast servers so far, the other only the slow ones:
   // each takes what it knows for usual.
   std::vector<Observer> nodes(2, Observer(6));
@@ -178,11 +178,11 @@
   }
 }
 
-Test(ServerPace, NothingNewWasSeen_IsNotWorthAMessage) {
+Test(ServerSlowdown, NothingNewWasSeen_IsNotWorthAMessage) {
   Observer        observer(3);
   std::mt19937_64 random(1);
   Watch(&observer, 0, 5 * kSecond, &random);
-  for (ServerPace& pace : observer.paces) pace.TakeUnsent();
+  for (ServerSlowdown& pace : observer.paces) pace.TakeUnsent();
   observer.See(0, 0.7 * kEvent, 5 * kSecond);
   cr_expect_not(observer.paces[0].NeedsImmediateReport());
   cr_expect_gt(observer.paces[0].Unsent().samples, 0);
@@ -191,8 +191,8 @@
   cr_expect(observer.paces[0].NeedsImmediateReport());
 }
 
-Test(PaceScale, KindsOfWorkThatEnded_AreForgotten) {
-  PaceScale scale;
+Test(SlowdownBaseline, KindsOfWorkThatEnded_AreForgotten) {
+  SlowdownBaseline scale;
   for (int i = 0; i < 1000; ++i) scale.Compare(std::to_string(i), 5, 1, i);
   scale.Forget(990);
   cr_expect_eq(scale.kinds(), 10);
--- a/tests/fairness_test.cc
+++ b/tests/fairness_test.cc
@@ -15,24 +15,24 @@
 namespace yuccawick::tests {
 namespace {
 
-using fairness::Beginner;
-using fairness::BeginShare;
-using fairness::EqualShare;
-using fairness::FairBegin;
-using fairness::FairBeginSettings;
+using fairness::NewProgram;
+using fairness::FairnessPolicy;
+using fairness::FirstComePolicy;
+using fairness::FairSharePolicy;
+using fairness::FairShareSettings;
 using net::Duration;
 using net::Time;
 
 // A moment at which the margins of urgency and lateness hold.
 constexpr Time kMargins = 1190;
 
-std::unique_ptr<FairBegin> Fair() {
-  return std::make_unique<FairBegin>(FairBeginSettings{},
+std::unique_ptr<FairSharePolicy> Fair() {
+  return std::make_unique<FairSharePolicy>(FairShareSettings{},
                                      [](const std::string&) { return 0; });
 }
 
 struct Callers {
-  Beginner who;
+  NewProgram who;
   double   per_second = 0;
 };
 
@@ -46,7 +46,7 @@
 // with as long a pause after each; one that is refused does not come back.
 class Room {
  public:
-  Room(int programs, BeginShare* share)
+  Room(int programs, FairnessPolicy* share)
       : m_programs(programs), m_share(share) {}
 
   // What callers of each name got, from 4 s on.
@@ -103,7 +103,7 @@
   }
 
   int                       m_programs;
-  BeginShare*               m_share;
+  FairnessPolicy*               m_share;
   std::mt19937              m_random{42};
   int                       m_under_way = 0;
   std::priority_queue<Turn> m_turns;
@@ -140,7 +140,7 @@
   return sum.part();
 }
 
-double OthersWithHot(BeginShare* share, double load, double times) {
+double OthersWithHot(FairnessPolicy* share, double load, double times) {
   auto callers = Workspaces(10, load);
   callers[0].per_second *= times;
   return Others(Room(kRoom, share).Run(callers, kLength));
@@ -154,7 +154,7 @@
   const auto   fair = Fair();
   const double calm = OthersWithHot(Fair().get(), 0.7, 1);
   const double hot = OthersWithHot(fair.get(), 0.7, 8);
-  EqualShare   equal;
+  FirstComePolicy   equal;
   const double first_come = OthersWithHot(&equal, 0.7, 8);
   cr_assert_geq(hot, 0.95 * calm, "%f of %f, first come %f", hot, calm,
                 first_come);
@@ -199,7 +199,7 @@
     if (turn % 6 == 0)
       fair->Charge("w" + std::to_string(turn / 6 % 5), 200, 1000);
   }
-  const Beginner hot{"hot", "r"};
+  const NewProgram hot{"hot", "r"};
   cr_assert_lt(fair->AdmissionThreshold(hot, 1000), 0.95);
   Time now = 1000;
   for (int turn = 0; turn < 100; ++turn) {
@@ -213,7 +213,7 @@
 
 // By its priority a workspace may use more before it leaves room to others.
 Test(Fairness, WorkspacesOfTwoPriorities_FirstMayUseMore) {
-  FairBegin fair(FairBeginSettings{},
+  FairSharePolicy fair(FairShareSettings{},
                  [](const std::string& name) { return name == "second"; });
   for (int turn = 0; turn < 100; ++turn) {
     fair.Charge("first", 200, 1000);
@@ -253,7 +253,7 @@
 // A route leaves no room to a more urgent one that nobody asks for.
 Test(Fairness, OnlyLessUrgentRouteAsks_MayTakeTheLastPlace) {
   const auto fair = Fair();
-  Beginner   other{"", "other", 1};
+  NewProgram   other{"", "other", 1};
   cr_assert_float_eq(fair->AdmissionThreshold(other, kMargins), 1, 1e-9);
   fair->AdmissionThreshold({"", "urgent", 0}, kMargins);
   cr_assert_lt(fair->AdmissionThreshold(other, kMargins), 1);
@@ -332,9 +332,9 @@
 }
 
 Test(Fairness, EightThousandWorkspaces_StateIsBoundedAndIdleOnesForgotten) {
-  FairBeginSettings settings;
+  FairShareSettings settings;
   settings.workspaces = 1000;
-  FairBegin fair(settings, [](const std::string&) { return 0; });
+  FairSharePolicy fair(settings, [](const std::string&) { return 0; });
   Time      now = 1000;
   for (int i = 0; i < 8200; ++i) {
     fair.Charge("w" + std::to_string(i), 100, now);
--- a/tests/placement_test.cc
+++ b/tests/placement_test.cc
@@ -23,7 +23,7 @@
 using net::Time;
 using traffic::BackendServer;
 using traffic::Candidate;
-using traffic::HomeReach;
+using traffic::AffinityScope;
 using traffic::PlacementKind;
 using traffic::ServerPool;
 
@@ -114,7 +114,7 @@
       candidate.slowdown = known(node, k);
       candidates.push_back(candidate);
     }
-    traffic::LeaveSome(&candidates, {}, &m_random);
+    traffic::SampleCandidates(&candidates, {}, &m_random);
     const double draw = std::uniform_real_distribution<double>()(m_random);
     const auto   chosen = static_cast<std::size_t>(
         candidates[m_placement->Choose(candidates, draw)].server -
@@ -290,13 +290,13 @@
 
 std::string HomeOf(const ServerPool& pool, const std::string& program) {
   std::vector<Candidate> candidates;
-  for (const auto* server : pool.Around(program, HomeReach::kZone, 64)) {
+  for (const auto* server : pool.Around(program, AffinityScope::kZone, 64)) {
     Candidate candidate;
     candidate.server = server;
     candidate.same_zone = true;
     candidates.push_back(candidate);
   }
-  return LikelyHome(program, candidates, HomeReach::kZone);
+  return PreferredServer(program, candidates, AffinityScope::kZone);
 }
 
 Test(ServerPool, ThirtyServersOrThreeThousand_LooksAreBounded) {
@@ -309,7 +309,7 @@
     cr_expect_eq(drawn.size(), std::min<std::size_t>(count, most));
     const std::set<const BackendServer*> distinct(drawn.begin(), drawn.end());
     cr_expect_eq(distinct.size(), drawn.size());
-    const auto around = pool.Around("p", HomeReach::kAllZones, 64);
+    const auto around = pool.Around("p", AffinityScope::kAllZones, 64);
     cr_expect_eq(around.size(), std::min<std::size_t>(count, 64));
   }
 }
@@ -331,8 +331,8 @@
 
 Test(ServerPool, ZoneWithoutServers_HasNoHomes) {
   const auto servers = MakeServers(3, "b");
-  cr_expect(PoolOf(servers).Around("p", HomeReach::kZone, 64).empty());
-  cr_expect_eq(PoolOf(servers).Around("p", HomeReach::kAllZones, 64).size(), 3);
+  cr_expect(PoolOf(servers).Around("p", AffinityScope::kZone, 64).empty());
+  cr_expect_eq(PoolOf(servers).Around("p", AffinityScope::kAllZones, 64).size(), 3);
 }
 
 // One node's picture of a service, with a clock that is moved by hand.
@@ -350,7 +350,7 @@
     m_loop.RunOnce(0);
   }
   void Observe(const std::string& id, double took) {
-    m_backends.NoteWork(id, "", took);
+    m_backends.ObserveServiceTime(id, "", took);
   }
   double LoadOf(const std::string& id) { return m_backends.Find(id)->load; }
   double PaceOf(const std::string& id) { return m_backends.Find(id)->slowdown; }
@@ -387,12 +387,12 @@
   some["a0"].requests = 6;
   gateway::Backends::ServerReports more = some;
   more["a0"].requests = 12;
-  picture.backends().SetPeerNews("x", more);
-  picture.backends().SetPeerNews("x", some);
-  picture.backends().SetPeerNews("y", more);
+  picture.backends().SetPeerReport("x", more);
+  picture.backends().SetPeerReport("x", some);
+  picture.backends().SetPeerReport("y", more);
   cr_expect_float_eq(picture.LoadOf("a0"), 3.0, 1e-9);
   picture.Wait(500);
-  picture.backends().SetPeerNews("y", some);
+  picture.backends().SetPeerReport("y", some);
   picture.Wait(500);
   picture.backends().Sweep();
   cr_expect_float_eq(picture.LoadOf("a0"), 1.0, 1e-9);
--- a/tests/rate_limit_test.cc
+++ b/tests/rate_limit_test.cc
@@ -19,9 +19,9 @@
 using net::Duration;
 using net::Time;
 using workspaces::LoggedRate;
-using workspaces::RateAnswer;
-using workspaces::RateAsk;
-using workspaces::RateHome;
+using workspaces::RateResponse;
+using workspaces::RateRequest;
+using workspaces::RateAllocator;
 using workspaces::RateLimit;
 using workspaces::RateRecord;
 using workspaces::RateWindow;
@@ -67,13 +67,13 @@
  private:
   struct Home {
     std::string                      node;
-    std::unique_ptr<RateHome>        home;
+    std::unique_ptr<RateAllocator>        home;
     std::int64_t                     next = -1;  // -1: not open
     std::int64_t                     last = -1;
     Time                             acked = 0;
     bool                             waiting = false;  // a record is under way
     std::uint64_t                    life = 0;
-    std::optional<RateHome::SubmittedRequest> question;
+    std::optional<RateAllocator::SubmittedRequest> question;
   };
   // A record on its way into the log, and its answer on the way back.
   struct Flight {
@@ -93,7 +93,7 @@
     Home home;
     home.life = ++m_lives;
     home.node = "n" + std::to_string(number) + "/" + std::to_string(home.life);
-    home.home = std::make_unique<RateHome>(
+    home.home = std::make_unique<RateAllocator>(
         [this](const std::string&) { return std::optional(m_limit); }, kWindow);
     return home;
   }
@@ -164,7 +164,7 @@
       return;
     }
     if (!home->question && Pick(0, 2) == 0) {
-      RateAsk ask;
+      RateRequest ask;
       ask.workspace = kWorkspace;
       ask.want = Pick(1, 12);
       for (const auto& unused : m_unused) ask.unused.push_back(unused);
@@ -186,7 +186,7 @@
          {home->node, home->last, m_now, home->acked, std::move(entries)});
   }
 
-  void Use(const RateAnswer& answer) {
+  void Use(const RateResponse& answer) {
     for (int i = 0; i < answer.tokens; ++i) {
       if (Pick(0, 9) == 0) {
         m_unused.push_back({kWorkspace, -1, answer.origin});
@@ -221,7 +221,7 @@
   }
 
   // Asks, and claims until there is an answer.
-  RateAnswer Ask(RateAsk ask) {
+  RateResponse Ask(RateRequest ask) {
     ask.workspace = kWorkspace;
     const auto entered = home.Submit(ask, now);
     for (;;) {
@@ -233,12 +233,12 @@
   int Take(int tokens) {
     for (int taken = 0; taken < tokens; ++taken) {
       if (at_hand.Take(now)) continue;
-      RateAsk ask;
+      RateRequest ask;
       ask.want = tokens - taken;
       for (const auto& ended : at_hand.TakeExpired(now)) {
         ask.unused.push_back({kWorkspace, -ended.tokens, ended.origin});
       }
-      const RateAnswer answer = Ask(ask);
+      const RateResponse answer = Ask(ask);
       at_hand.Add({answer.tokens, now + answer.valid, answer.origin});
       if (!at_hand.Take(now)) return taken;
     }
@@ -246,7 +246,7 @@
   }
   // What a node has at hand and did not use.
   void TellUnused() {
-    RateAsk ask;
+    RateRequest ask;
     ask.workspace = kWorkspace;
     for (const auto& ended : at_hand.TakeExpired(now)) {
       ask.unused.push_back({kWorkspace, -ended.tokens, ended.origin});
@@ -273,7 +273,7 @@
  public:
   RateLimit             m_limit;
   Time                  now = 1'000'000;
-  RateHome              home;
+  RateAllocator              home;
   workspaces::TokenPool at_hand;  // of a node
 };
 
@@ -332,7 +332,7 @@
   }
   // All that is at hand and at its home ends.
   for (int i = 0; i < 3; ++i) {
-    d.Pass(workspaces::kRateHold);
+    d.Pass(workspaces::kRateTokenLifetime);
     d.TellUnused();
   }
   const double used = workspaces::Allowance(d.m_limit, kWindow) -
@@ -365,7 +365,7 @@
   OneHome d({100, 100});
   cr_assert_eq(d.Take(200), 200);
   d.m_limit = {10, 10};
-  d.Pass(workspaces::kRateHold);  // what is at hand may still be used
+  d.Pass(workspaces::kRateTokenLifetime);  // what is at hand may still be used
   cr_assert_eq(d.Take(1), 0);
   d.Pass(d.home.ledger().Span());
   cr_assert_geq(d.Take(100), 60);
@@ -466,7 +466,7 @@
     }
     for (Program& program : programs) {
       if (program.next > d.now) continue;
-      RateAsk ask;
+      RateRequest ask;
       if (program.known) {
         ask.want = 1;
       } else {
@@ -474,7 +474,7 @@
       }
       if (program.tried == 0) program.tried = d.now;
       if (program.steps > 0) ask.steps = {{program.hash, 1}};
-      const RateAnswer answer = d.Ask(ask);
+      const RateResponse answer = d.Ask(ask);
       if (answer.tokens > 0) {
         program.known = true;
         program.tried = 0;
@@ -482,7 +482,7 @@
         ++program.steps;
       } else if (!program.known && answer.may_go_on.empty()) {
         ++turned_away;
-        returns.insert(answer.begin_retry);
+        returns.insert(answer.new_program_retry_delay);
         program.steps = -1;
       } else if (d.now - program.tried > 1000) {
         ++cut;
@@ -513,9 +513,9 @@
   workspaces::RateLedger::LimitLookup limit_of = [](const std::string&) {
     return std::optional(RateLimit{1, 0});
   };
-  RateHome home(limit_of, kExact);
+  RateAllocator home(limit_of, kExact);
   home.ledger().Begin({}, 0);
-  RateAsk ask;
+  RateRequest ask;
   ask.workspace = kWorkspace;
   ask.waiting = {17};
   const auto entered = home.Submit(ask, 0);
--- a/tests/turn_limit_test.cc
+++ b/tests/turn_limit_test.cc
@@ -17,14 +17,14 @@
 namespace yuccawick::tests {
 namespace {
 
-using gateway::TurnGate;
+using gateway::TurnDispatcher;
 using net::Duration;
 using net::Time;
-using traffic::TurnLimit;
-using traffic::TurnLimitSettings;
+using traffic::ConcurrencyLimit;
+using traffic::ConcurrencyLimitSettings;
 
 // The limit sets in where first events miss their objective.
-constexpr TurnLimitSettings kOn{1.0};
+constexpr ConcurrencyLimitSettings kOn{1.0};
 constexpr unsigned          kSeeds = 5;
 constexpr int               kServers = 12;
 constexpr int               kSlots = 6;
@@ -46,7 +46,7 @@
   Burst(unsigned seed, bool gates)
       : m_random(seed), m_loop([this] { return m_now; }), m_gates_on(gates) {
     for (int i = 0; i < kNodes; ++i) {
-      m_gates.push_back(std::make_unique<TurnGate>(&m_loop, kOn));
+      m_gates.push_back(std::make_unique<TurnDispatcher>(&m_loop, kOn));
     }
   }
 
@@ -95,7 +95,7 @@
     Time         began = 0;
     Time         ended = 0;
     int          turns = 0;
-    TurnGate::Id at_gate = 0;
+    TurnDispatcher::Id at_gate = 0;
   };
   struct Server {
     std::vector<std::pair<Time, std::size_t>> running;  // until, program
@@ -110,7 +110,7 @@
     NextTurn(m_programs.size() - 1);
   }
 
-  TurnGate& GateOf(std::size_t program) {
+  TurnDispatcher& GateOf(std::size_t program) {
     // Another node for each turn.
     return *m_gates[(program +
                      static_cast<std::size_t>(m_programs[program].turns)) %
@@ -125,7 +125,7 @@
     Program&       program = m_programs[number];
     const Duration left = kAim - (m_now - program.began);
     program.at_gate =
-        GateOf(number).Enqueue("llm", traffic::PlaceOf(program.id, 0, left),
+        GateOf(number).Enqueue("llm", traffic::QueueRank(program.id, 0, left),
                              kObjective, [this, number] { Send(number); });
   }
 
@@ -188,7 +188,7 @@
   Time                                              m_now = 0;
   net::EventLoop                                    m_loop;
   bool                                              m_gates_on;
-  std::vector<std::unique_ptr<TurnGate>>            m_gates;
+  std::vector<std::unique_ptr<TurnDispatcher>>            m_gates;
   std::vector<Program>                              m_programs;
   std::array<Server, kServers>                      m_servers;
   std::multimap<Time, std::pair<std::size_t, bool>> m_due;
@@ -235,7 +235,7 @@
 }
 
 Test(TurnLimits, FirstEventsGrowSlow_LimitFallsAndGrowsAgain) {
-  TurnLimit  limit(kOn);
+  ConcurrencyLimit  limit(kOn);
   Time       now = 1000;
   const auto observe = [&](Duration took, int under_way, int rounds) {
     for (int i = 0; i < rounds; ++i) {
@@ -255,7 +255,7 @@
 }
 
 Test(TurnLimits, NotSwitchedOn_NobodyIsHeld) {
-  TurnLimit limit({});
+  ConcurrencyLimit limit({});
   for (Time now = 1000; now < 3000; now += 10) {
     limit.Observe(5000, 120, now);
     cr_assert(limit.MayStart(1000, now));
@@ -265,7 +265,7 @@
 // The limit never keeps a node from sending at all, or it would not learn that
 // the servers are quick again.
 Test(TurnLimits, ServersSlowForLong_SomeTurnsAreAlwaysSent) {
-  TurnLimit limit(kOn);
+  ConcurrencyLimit limit(kOn);
   Time      now = 1000;
   for (int i = 0; i < 500; ++i) {
     now += 20;
@@ -276,21 +276,21 @@
 }
 
 Test(TurnLimits, PlacesOfPrograms_AreTheSameEverywhereAndLateOnesLast) {
-  const double place = traffic::PlaceOf("w\nprogram", 0, 500);
-  cr_assert_eq(place, traffic::PlaceOf("w\nprogram", 0, 20));
+  const double place = traffic::QueueRank("w\nprogram", 0, 500);
+  cr_assert_eq(place, traffic::QueueRank("w\nprogram", 0, 20));
   cr_assert_geq(place, 0);
   cr_assert_lt(place, 1);
-  cr_assert_lt(place, traffic::PlaceOf("w\nprogram", 1, 500));
-  cr_assert_gt(traffic::PlaceOf("w\nprogram", 0, 0),
-               traffic::PlaceOf("w\nother", 5, 1));
+  cr_assert_lt(place, traffic::QueueRank("w\nprogram", 1, 500));
+  cr_assert_gt(traffic::QueueRank("w\nprogram", 0, 0),
+               traffic::QueueRank("w\nother", 5, 1));
 }
 
 // Who waits and gives up leaves no trace; who goes makes room for the next.
 Test(TurnGates, TurnsThatWaitLeaveOrGo_InTheirOrder) {
   Time                      now = 1000;
   net::EventLoop            loop([&now] { return now; });
-  TurnGate                  gate(&loop, kOn);
-  std::vector<TurnGate::Id> sent;
+  TurnDispatcher                  gate(&loop, kOn);
+  std::vector<TurnDispatcher::Id> sent;
   // First events after 50 ms, then after 600: the limit sets in.
   for (const int took : {50, 600}) {
     const std::size_t first = sent.size();
@@ -302,17 +302,17 @@
   }
   cr_assert_eq(gate.waiting(), 0);
   std::vector<char> went;
-  TurnGate::Id      b =
+  TurnDispatcher::Id      b =
       gate.Enqueue("llm", 0.5, 120, [&went] { went.push_back('b'); });
-  TurnGate::Id c =
+  TurnDispatcher::Id c =
       gate.Enqueue("llm", 0.9, 120, [&went] { went.push_back('c'); });
-  TurnGate::Id a =
+  TurnDispatcher::Id a =
       gate.Enqueue("llm", 0.1, 120, [&went] { went.push_back('a'); });
   cr_assert(went.empty());
   cr_assert_eq(gate.waiting(), 3);
   gate.Release(&b);
   cr_assert_eq(gate.waiting(), 2);
-  for (TurnGate::Id& id : sent) gate.Release(&id);
+  for (TurnDispatcher::Id& id : sent) gate.Release(&id);
   loop.RunOnce(0);
   cr_assert_eq(went.size(), 2);
   cr_assert_eq(went[0], 'a');
--- a/tests/urgency_test.cc
+++ b/tests/urgency_test.cc
@@ -15,17 +15,17 @@
 
 using net::Duration;
 using net::Time;
-using traffic::UrgencyOf;
+using traffic::ComputeUrgency;
 
 Test(Urgency, LessTimeLeft_IsNeverLessUrgent) {
   for (int priority = 0; priority < 6; ++priority) {
     for (Duration left = -1000; left < 10'000; left += 50) {
-      cr_assert_leq(UrgencyOf(priority, left), UrgencyOf(priority, left + 50));
-      cr_assert_leq(UrgencyOf(priority, left), UrgencyOf(priority + 1, left));
+      cr_assert_leq(ComputeUrgency(priority, left), ComputeUrgency(priority, left + 50));
+      cr_assert_leq(ComputeUrgency(priority, left), ComputeUrgency(priority + 1, left));
     }
   }
-  cr_assert_eq(UrgencyOf(-1, -5), 0);
-  cr_assert_leq(UrgencyOf(1000, std::nullopt), traffic::kLeastUrgent);
+  cr_assert_eq(ComputeUrgency(-1, -5), 0);
+  cr_assert_leq(ComputeUrgency(1000, std::nullopt), traffic::kLeastUrgent);
 }
 
 // Programs of some turns each, before servers that take the most urgent of the
@@ -125,7 +125,7 @@
   for (unsigned seed = 1; seed <= 8; ++seed) {
     const double flat = Burst(seed, [](Duration) { return 0; }).Play();
     const double urgent =
-        Burst(seed, [](Duration left) { return UrgencyOf(0, left); }).Play();
+        Burst(seed, [](Duration left) { return ComputeUrgency(0, left); }).Play();
     cr_expect_gt(urgent, flat + 0.05, "seed %u: %.3f against %.3f", seed,
                  urgent, flat);
   }
