--- a/bench/overload_run.cc
+++ b/bench/overload_run.cc
@@ -10,8 +10,8 @@
 #include <random>
 #include <string>
 
-#include "yuccawick/admission/program_room.h"
-#include "yuccawick/fairness/fair_begin.h"
+#include "yuccawick/admission/admission_controller.h"
+#include "yuccawick/fairness/fair_share_policy.h"
 #include "yuccawick/traffic/placement.h"
 
 namespace yuccawick::bench {
@@ -144,7 +144,8 @@
 
   void TellEachOther(Time now) {
     for (int from = 0; from < kHomes; ++from) {
-      const auto& uses = m_rooms[static_cast<std::size_t>(from)]->LocalUsageByPartition();
+      const auto& uses =
+          m_rooms[static_cast<std::size_t>(from)]->LocalUsageByPartition();
       for (int to = 0; to < kHomes; ++to) {
         if (to == from) continue;
         m_rooms[static_cast<std::size_t>(to)]->SetPeerUsage(
@@ -162,13 +163,14 @@
 
  private:
   static std::unique_ptr<fairness::FairnessPolicy> MakeShare(Door door) {
-    if (door != Door::kShares) return std::make_unique<fairness::FirstComePolicy>();
+    if (door != Door::kShares)
+      return std::make_unique<fairness::FirstComePolicy>();
     return std::make_unique<fairness::FairSharePolicy>(
         fairness::FairShareSettings{}, [](const std::string&) { return 0; });
   }
 
-  admission::AdmissionSettings                         m_settings;
-  std::vector<std::unique_ptr<fairness::FairnessPolicy>>   m_shares;
+  admission::AdmissionSettings                                 m_settings;
+  std::vector<std::unique_ptr<fairness::FairnessPolicy>>       m_shares;
   std::vector<std::unique_ptr<admission::AdmissionController>> m_rooms;
 };
 
@@ -282,11 +284,11 @@
   }
 
   admission::AdmissionRequest AskOf(std::size_t i) const {
-    const OverloadProgram& program = m_result.programs[i];
-    const Client&          client = m_clients[i];
-    const RouteShape&      route = kRoutes[program.route];
-    const PlannedTurn&     turn = program.turns[client.turn];
-    admission::AdmissionRequest     ask;
+    const OverloadProgram&      program = m_result.programs[i];
+    const Client&               client = m_clients[i];
+    const RouteShape&           route = kRoutes[program.route];
+    const PlannedTurn&          turn = program.turns[client.turn];
+    admission::AdmissionRequest ask;
     ask.program = "program-" + std::to_string(i);
     ask.service = "llm";
     ask.route = route.name;
--- a/bench/overload_run.h
+++ b/bench/overload_run.h
@@ -1,6 +1,6 @@
 // Programs of two routes before model servers that they can overload: the real
-// AdmissionController, FairnessPolicy and Placement at several homes and nodes that hear of
-// each other now and then, on a manual clock.
+// AdmissionController, FairnessPolicy and Placement at several homes and nodes
+// that hear of each other now and then, on a manual clock.
 //
 // A client that is refused comes back once, after the time that it was told.
 // One whose turn is not answered within its patience sends it again, twice at
--- a/src/yuccawick/admission/program_room.cc
+++ b/src/yuccawick/admission/admission_controller.cc
@@ -1,4 +1,4 @@
-#include "yuccawick/admission/program_room.h"
+#include "yuccawick/admission/admission_controller.h"
 
 #include <algorithm>
 #include <cmath>
@@ -32,14 +32,16 @@
   return *this;
 }
 
-AdmissionController::AdmissionController(const AdmissionSettings* settings,
-                         fairness::FairnessPolicy* share, Time started)
+AdmissionController::AdmissionController(const AdmissionSettings*  settings,
+                                         fairness::FairnessPolicy* share,
+                                         Time                      started)
     : m_settings(settings), m_share(share), m_started(started) {}
 
 // Asking ---------------------------------------------------------------------
 
-AdmissionDecision AdmissionController::TryAdmit(const AdmissionRequest&               ask,
-                            const capacity::ServiceCapacity& room, Time now) {
+AdmissionDecision AdmissionController::TryAdmit(
+    const AdmissionRequest& ask, const capacity::ServiceCapacity& room,
+    Time now) {
   const auto known = m_programs.find(ask.program);
   if (known != m_programs.end()) {
     AddTurn(&known->second, ask, now);
@@ -48,8 +50,8 @@
   const bool counts = m_settings->slot_overcommit > 0 && room.known();
   if (counts && !ask.under_way) {
     const RetryList::Entry* sent_away = m_returns.Find(ask.program);
-    const auto               slack = SlackOf(ask, sent_away);
-    const bool               late = slack && *slack <= 0;
+    const auto              slack = SlackOf(ask, sent_away);
+    const bool              late = slack && *slack <= 0;
     if (!Fits(ask, slack, sent_away != nullptr, room, now)) {
       const int      before = sent_away == nullptr ? 0 : sent_away->refusals;
       const Duration retry = RetryAfter(slack, before, now);
@@ -83,11 +85,12 @@
   return m_settings->slot_overcommit / needs;
 }
 
-bool AdmissionController::Fits(const AdmissionRequest& ask, std::optional<Duration> slack,
-                       bool returns, const capacity::ServiceCapacity& room,
-                       Time now) {
-  const bool late = slack && *slack <= 0;
-  CapacityUsage    use = TotalUse(now);
+bool AdmissionController::Fits(const AdmissionRequest& ask,
+                               std::optional<Duration> slack, bool returns,
+                               const capacity::ServiceCapacity& room,
+                               Time                             now) {
+  const bool    late = slack && *slack <= 0;
+  CapacityUsage use = TotalUse(now);
   use.slots += 1;
   use.memory += LikelyTokens(ask);
   const auto memory = static_cast<double>(use.memory);
@@ -97,8 +100,8 @@
            most_memory * std::max(kMemoryWhenIdle, m_settings->memory);
   }
   if (now - m_started < m_settings->settling) return false;
-  double share =
-      m_share->AdmissionThreshold({ask.workspace, ask.route, ask.priority, late}, now);
+  double share = m_share->AdmissionThreshold(
+      {ask.workspace, ask.route, ask.priority, late}, now);
   if (late) share = std::min(share, m_settings->late);
   // Those that came before and can still be in time go first.
   const auto kept =
@@ -112,22 +115,23 @@
 // to ask twice more before that is over; it goes before those that can't. A
 // client has few tries: each refusal doubles the time to the next one, or all
 // would be used up before the shortest burst is over.
-Duration AdmissionController::RetryAfter(std::optional<Duration> slack, int refusals,
-                                 Time now) const {
+Duration AdmissionController::RetryAfter(std::optional<Duration> slack,
+                                         int refusals, Time now) const {
   constexpr int kMostDoublings = 4;
   const bool    late = slack && *slack <= 0;
-  const auto    ahead = static_cast<double>(m_returns.CountAhead(late, now) + 1);
-  const auto    gap = m_end_gap.empty() ? 0.0 : m_end_gap.value();
-  Duration      most = m_settings->max_retry_delay;
+  const auto ahead = static_cast<double>(m_returns.CountAhead(late, now) + 1);
+  const auto gap = m_end_gap.empty() ? 0.0 : m_end_gap.value();
+  Duration   most = m_settings->max_retry_delay;
   if (slack && !late) most = std::min(most, *slack / 3);
-  const Duration least =
-      std::min(m_settings->min_retry_delay << std::min(refusals, kMostDoublings),
-               m_settings->max_retry_delay);
+  const Duration least = std::min(
+      m_settings->min_retry_delay << std::min(refusals, kMostDoublings),
+      m_settings->max_retry_delay);
   return std::clamp(static_cast<Duration>(ahead * gap), least,
                     std::max(least, most));
 }
 
-Duration AdmissionController::RetryDelay(const std::string& program, Time now) const {
+Duration AdmissionController::RetryDelay(const std::string& program,
+                                         Time               now) const {
   const RetryList::Entry* entry = m_returns.Find(program);
   if (entry == nullptr) return m_settings->min_retry_delay;
   return std::max((entry->from + entry->until) / 2 - now,
@@ -147,7 +151,9 @@
                   ProfileOf(ask.route).EndTokens());
 }
 
-int AdmissionController::TakeRefusedCount() { return std::exchange(m_refused, 0); }
+int AdmissionController::TakeRefusedCount() {
+  return std::exchange(m_refused, 0);
+}
 
 // Turns ----------------------------------------------------------------------
 
@@ -163,7 +169,8 @@
   m_begun += {1, 1, program.held};
 }
 
-void AdmissionController::AddTurn(Program* program, const AdmissionRequest& ask, Time now) {
+void AdmissionController::AddTurn(Program* program, const AdmissionRequest& ask,
+                                  Time now) {
   if (program->turns == 0 && program->changed < now) {
     ProfileOf(program->route).ObserveThinkTime(now - program->changed);
   }
@@ -175,7 +182,8 @@
   Hold(program);
 }
 
-void AdmissionController::OnTurnEnded(const AdmissionRequest& ask, Tokens used, Time now) {
+void AdmissionController::OnTurnEnded(const AdmissionRequest& ask, Tokens used,
+                                      Time now) {
   const auto found = m_programs.find(ask.program);
   if (found == m_programs.end() || found->second.turns == 0) return;
   Program& program = found->second;
@@ -185,7 +193,8 @@
   Hold(&program);
 }
 
-void AdmissionController::CancelAdmission(const AdmissionRequest& ask, Time now) {
+void AdmissionController::CancelAdmission(const AdmissionRequest& ask,
+                                          Time                    now) {
   const auto found = m_programs.find(ask.program);
   if (found == m_programs.end() || found->second.turns == 0) return;
   EndTurn(&found->second, now);
@@ -218,7 +227,7 @@
   use.memory -= std::exchange(program->held, 0);
   ProfileOf(program->route)
       .ObserveEnd(program->tokens, program->changed - program->began,
-               program->stated);
+                  program->stated);
 }
 
 Duration AdmissionController::LongestSilence(const Program& program) {
@@ -242,8 +251,9 @@
   }
   if (ended > 0) {
     // After a lull the gap says nothing of the rate when there is no room.
-    const Duration since = std::min(now - m_ended_at, m_settings->max_retry_delay);
-    const auto     gap = static_cast<double>(since) / ended;
+    const Duration since =
+        std::min(now - m_ended_at, m_settings->max_retry_delay);
+    const auto gap = static_cast<double>(since) / ended;
     for (int i = 0; i < ended; ++i) m_end_gap.Observe(gap);
     m_ended_at = now;
   }
@@ -262,14 +272,14 @@
   return own;
 }
 
-void AdmissionController::SetPeerUsage(const std::string& home, const UsageByPartition& uses,
-                           Time now) {
+void AdmissionController::SetPeerUsage(const std::string&      home,
+                                       const UsageByPartition& uses, Time now) {
   m_homes[home] = {uses, now, m_begun};
 }
 
 CapacityUsage AdmissionController::TotalUse(Time now) const {
   UsageByPartition parts = m_own;
-  CapacityUsage       total;
+  CapacityUsage    total;
   for (const auto& [name, home] : m_homes) {
     if (now - home.heard > m_settings->usage_report_ttl) continue;
     for (const auto& [partition, use] : home.uses) {
--- a/src/yuccawick/admission/program_room.h
+++ b/src/yuccawick/admission/admission_controller.h
@@ -14,17 +14,20 @@
 // else it is refused before any turn is wasted, and told when to come back.
 // Turns of programs under way are never refused here.
 //
-// One AdmissionController counts the programs of one service that one home counts the
-// tokens of (gateway/token_desk.h); homes tell each other what theirs take. All
-// of it is soft state: a home that starts anew learns of the programs under way
-// by their next turns.
+// One AdmissionController counts the programs of one service that one home
+// counts the tokens of (gateway/token_coordinator.h); homes tell each other
+// what theirs take. All of it is soft state: a home that starts anew learns of
+// the programs under way by their next turns.
 //
-//   Ask        a turn wants to run; the answer is final for this attempt
-//   TurnEnded  with the tokens that its program now has
-//   Withdraw   a turn that was let in did not run after all
-//   Sweep      takes back the room of programs that were silent; call it often
-//   OwnUses    what the programs counted here take, for the other homes
-//   TakeUses   what another home said so
+//   TryAdmit               a turn wants to run; the answer is final for this
+//                          attempt
+//   OnTurnEnded            with the tokens that its program now has
+//   CancelAdmission        a turn that was let in did not run after all
+//   Sweep                  takes back the room of programs that were silent;
+//                          call it often
+//   LocalUsageByPartition  what the programs counted here take, for the other
+//                          homes
+//   SetPeerUsage           what another home said so
 #pragma once
 
 #include <cstdint>
@@ -33,10 +36,10 @@
 #include <string>
 #include <unordered_map>
 
-#include "yuccawick/admission/return_list.h"
+#include "yuccawick/admission/retry_list.h"
 #include "yuccawick/admission/route_profile.h"
-#include "yuccawick/capacity/service_room.h"
-#include "yuccawick/fairness/begin_share.h"
+#include "yuccawick/capacity/service_capacity.h"
+#include "yuccawick/fairness/fairness_policy.h"
 #include "yuccawick/net/event_loop.h"
 
 namespace yuccawick::admission {
@@ -80,7 +83,7 @@
   int                     priority = 0;       // 0 is first
   bool                    under_way = false;  // known from before this turn
   Tokens                  prompt_tokens = 0;  // but those that programs share
-  Tokens                  max_tokens = 0;    // that the turn may generate
+  Tokens                  max_tokens = 0;     // that the turn may generate
   std::optional<Duration> left;  // ms until the program should be finished
 };
 
@@ -90,39 +93,41 @@
   double slots = 0;  // turns under way
   Tokens memory = 0;
 
-  bool     operator==(const CapacityUsage&) const = default;
+  bool           operator==(const CapacityUsage&) const = default;
   CapacityUsage& operator+=(const CapacityUsage& other);
 };
 using UsageByPartition = std::map<int, CapacityUsage>;  // by partition
 
 struct AdmissionDecision {
   bool     admitted = true;
-  Duration retry_delay = 0;  // ms until there will be room; spread by the caller
+  Duration retry_delay =
+      0;  // ms until there will be room; spread by the caller
 };
 
 class AdmissionController {
  public:
-  AdmissionController(const AdmissionSettings* settings, fairness::FairnessPolicy* share,
-              Time started);
+  AdmissionController(const AdmissionSettings*  settings,
+                      fairness::FairnessPolicy* share, Time started);
 
-  AdmissionDecision TryAdmit(const AdmissionRequest& ask, const capacity::ServiceCapacity& room,
-                 Time now);
+  AdmissionDecision TryAdmit(const AdmissionRequest&          ask,
+                             const capacity::ServiceCapacity& room, Time now);
   // `used`: tokens that the turn generated.
-  void       OnTurnEnded(const AdmissionRequest& ask, Tokens used, Time now);
-  void       CancelAdmission(const AdmissionRequest& ask, Time now);
+  void     OnTurnEnded(const AdmissionRequest& ask, Tokens used, Time now);
+  void     CancelAdmission(const AdmissionRequest& ask, Time now);
   // Until a program that was refused should come back, in ms.
-  Duration   RetryDelay(const std::string& program, Time now) const;
-  void       Sweep(Time now);
+  Duration RetryDelay(const std::string& program, Time now) const;
+  void     Sweep(Time now);
 
   const UsageByPartition& LocalUsageByPartition() const { return m_own; }
-  CapacityUsage              LocalUsage() const;
-  void SetPeerUsage(const std::string& home, const UsageByPartition& uses, Time now);
+  CapacityUsage           LocalUsage() const;
+  void SetPeerUsage(const std::string& home, const UsageByPartition& uses,
+                    Time now);
   // Of all homes, as far as known. Programs whose partition moves from one home
   // to another, or has two while nodes are cut off, are seen by both.
   CapacityUsage TotalUse(Time now) const;
   // Refused since the last call.
-  int     TakeRefusedCount();
-  bool    empty() const { return m_programs.empty(); }
+  int           TakeRefusedCount();
+  bool          empty() const { return m_programs.empty(); }
 
  private:
   struct Program {
@@ -140,18 +145,18 @@
   };
   struct Home {
     UsageByPartition uses;
-    Time          heard = 0;
-    CapacityUsage       begun_before;  // here, when it was heard
+    Time             heard = 0;
+    CapacityUsage    begun_before;  // here, when it was heard
   };
 
   double   MostPlaces(const AdmissionRequest& ask, bool late);
-  bool     Fits(const AdmissionRequest& ask, std::optional<Duration> slack, bool returns,
-                const capacity::ServiceCapacity& room, Time now);
+  bool     Fits(const AdmissionRequest& ask, std::optional<Duration> slack,
+                bool returns, const capacity::ServiceCapacity& room, Time now);
   // `refusals`: those before this one.
   Duration RetryAfter(std::optional<Duration> slack, int refusals,
                       Time now) const;
   // What it may still wait and be in time; nothing: it has no time to keep.
-  std::optional<Duration> SlackOf(const AdmissionRequest&           ask,
+  std::optional<Duration> SlackOf(const AdmissionRequest& ask,
                                   const RetryList::Entry* sent_away);
   RouteProfile&           ProfileOf(const std::string& route);
   Tokens                  LikelyTokens(const AdmissionRequest& ask);
@@ -163,13 +168,13 @@
   Duration LongestSilence(const Program& program);
 
   const AdmissionSettings*                 m_settings;
-  fairness::FairnessPolicy*                    m_share;
+  fairness::FairnessPolicy*                m_share;
   Time                                     m_started;
   std::unordered_map<std::string, Program> m_programs;  // by name
-  RetryList                               m_returns;
+  RetryList                                m_returns;
   std::map<std::string, RouteProfile>      m_profiles;  // by route
-  UsageByPartition                            m_own;
-  CapacityUsage                                  m_begun;  // here, since the start
+  UsageByPartition                         m_own;
+  CapacityUsage                            m_begun;  // here, since the start
   std::map<std::string, Home>              m_homes;  // the other ones, by node
   RunningMean m_end_gap;  // ms between two programs' ends
   Time        m_ended_at = 0;
--- a/src/yuccawick/admission/return_list.cc
+++ b/src/yuccawick/admission/retry_list.cc
@@ -1,4 +1,4 @@
-#include "yuccawick/admission/return_list.h"
+#include "yuccawick/admission/retry_list.h"
 
 #include <algorithm>
 
@@ -26,7 +26,7 @@
 }
 
 void RetryList::Put(const std::string& program, std::optional<Duration> left,
-                     bool late, Duration retry, Time now) {
+                    bool late, Duration retry, Time now) {
   if (m_entries.size() >= kMost && !m_entries.contains(program)) {
     m_entries.erase(std::min_element(m_entries.begin(), m_entries.end(),
                                      [](const auto& a, const auto& b) {
@@ -41,9 +41,7 @@
   entry->second.until = now + Part(retry, kLatest) + kWay;
 }
 
-void RetryList::Remove(const std::string& program) {
-  m_entries.erase(program);
-}
+void RetryList::Remove(const std::string& program) { m_entries.erase(program); }
 
 std::size_t RetryList::CountAhead(bool late, Time now) const {
   return static_cast<std::size_t>(
--- a/src/yuccawick/admission/route_profile.cc
+++ b/src/yuccawick/admission/route_profile.cc
@@ -34,7 +34,8 @@
 void RouteProfile::ObserveEnd(Tokens tokens, Duration took, Duration stated) {
   m_end_tokens.Observe(static_cast<double>(tokens));
   if (stated > 0) {
-    m_time_share.Observe(static_cast<double>(took) / static_cast<double>(stated));
+    m_time_share.Observe(static_cast<double>(took) /
+                         static_cast<double>(stated));
   }
 }
 
--- a/src/yuccawick/capacity/server_pace.cc
+++ b/src/yuccawick/capacity/server_slowdown.cc
@@ -1,4 +1,4 @@
-#include "yuccawick/capacity/server_pace.h"
+#include "yuccawick/capacity/server_slowdown.h"
 
 #include <algorithm>
 #include <cmath>
@@ -101,8 +101,10 @@
   return std::exchange(m_slow, slow) != slow;
 }
 
-std::optional<SlowdownEstimate> SlowdownBaseline::Compare(std::string_view kind, double took,
-                                       double pace, Time now) {
+std::optional<SlowdownEstimate> SlowdownBaseline::Compare(std::string_view kind,
+                                                          double           took,
+                                                          double           pace,
+                                                          Time now) {
   constexpr double kShortest = 0.5;  // ms; the clock shows no less
   Usual&           usual = m_kinds[std::string(kind)];
   const double     time = std::log(std::max(kShortest, took));
@@ -118,7 +120,8 @@
   usual.used = now;
   if (!enough) return std::nullopt;
   const double counts = std::min(1.0, kFullScatter / std::max(1e-6, scatter));
-  return SlowdownEstimate{std::exp(std::clamp(seen, -kMostLog, kMostLog)), counts};
+  return SlowdownEstimate{std::exp(std::clamp(seen, -kMostLog, kMostLog)),
+                          counts};
 }
 
 void SlowdownBaseline::Recenter(const std::vector<ServerSlowdown*>& servers) {
--- a/src/yuccawick/capacity/server_pace.h
+++ b/src/yuccawick/capacity/server_slowdown.h
@@ -10,13 +10,13 @@
 // a server keeps, and of a spell, which is noticed within two or three events
 // and forgotten as fast.
 //
-//   SlowdownBaseline   of a service: turns the time that a piece of work took into a
-//               pace, by what that kind of work usually takes
-//   ServerSlowdown  of one start of a server: what was observed there
+//   SlowdownBaseline  of a service: turns the time that a piece of work took
+//                     into a pace, by what that kind of work usually takes
+//   ServerSlowdown    of one start of a server: what was observed there
 //
 //   if (auto seen = scale.Compare("events", 40, server.At(now), now))
 //     server.Observe(*seen, now);
-//   neighbour.Hear(server.TakeUntold(), now);  // what it has not yet told
+//   neighbour.MergePeer(server.TakeUnsent(), now);  // what it has not yet told
 #pragma once
 
 #include <optional>
@@ -57,21 +57,22 @@
 
 class ServerSlowdown {
  public:
-  explicit ServerSlowdown(const SlowdownSettings& settings) : m_settings(settings) {}
+  explicit ServerSlowdown(const SlowdownSettings& settings)
+      : m_settings(settings) {}
 
   // Seen here; to be told to neighbours.
-  void   Observe(const SlowdownEstimate& seen, Time now);
+  void             Observe(const SlowdownEstimate& seen, Time now);
   // Seen by a neighbour.
-  void   MergePeer(const SlowdownEstimate& seen, Time now);
-  SlowdownEstimate   Lasting() const;
+  void             MergePeer(const SlowdownEstimate& seen, Time now);
+  SlowdownEstimate Lasting() const;
   // Lasting pace and spell together.
-  double At(Time now) const;
+  double           At(Time now) const;
 
   SlowdownEstimate Unsent() const;
   SlowdownEstimate TakeUnsent();
   // Whether untold observations are far from the lasting pace, so that they
   // are worth a message of their own.
-  bool NeedsImmediateReport() const;
+  bool             NeedsImmediateReport() const;
 
   // Changes the unit of what was observed, not what follows.
   void Rescale(double by);
@@ -84,25 +85,25 @@
   double SpellKept(Time now) const;
 
   SlowdownSettings m_settings;
-  LogMean      m_lasting;
-  LogMean      m_spell;  // against the lasting pace
-  LogMean      m_untold;
-  Time         m_spell_as_of = 0;
-  bool         m_slow = false;
+  LogMean          m_lasting;
+  LogMean          m_spell;  // against the lasting pace
+  LogMean          m_untold;
+  Time             m_spell_as_of = 0;
+  bool             m_slow = false;
 };
 
 class SlowdownBaseline {
  public:
   // Pace that a piece of work of this kind shows, which took `took` ms at a
   // server of the given pace; nothing while too few were seen to compare with.
-  std::optional<SlowdownEstimate> Compare(std::string_view kind, double took, double pace,
-                              Time now);
+  std::optional<SlowdownEstimate> Compare(std::string_view kind, double took,
+                                          double pace, Time now);
   // Makes the median of these lasting paces 1. Observations of servers that
   // nothing is known of say nothing.
-  void                Recenter(const std::vector<ServerSlowdown*>& servers);
+  void        Recenter(const std::vector<ServerSlowdown*>& servers);
   // Drops kinds of work that were not seen since then.
-  void                Forget(Time before);
-  std::size_t         kinds() const { return m_kinds.size(); }
+  void        Forget(Time before);
+  std::size_t kinds() const { return m_kinds.size(); }
 
  private:
   struct Usual {
--- a/src/yuccawick/capacity/service_room.h
+++ b/src/yuccawick/capacity/service_capacity.h
@@ -11,7 +11,7 @@
 
 struct ServiceCapacity {
   int          servers = 0;  // listed, not leaving
-  double       slots = 0;   // requests at once; a slow server's count less
+  double       slots = 0;    // requests at once; a slow server's count less
   std::int64_t memory = 0;   // tokens, shared by runs and cached prompts
 
   bool known() const { return servers > 0 && slots > 0 && memory > 0; }
--- a/src/yuccawick/fairness/fair_begin.cc
+++ b/src/yuccawick/fairness/fair_share_policy.cc
@@ -1,4 +1,4 @@
-#include "yuccawick/fairness/fair_begin.h"
+#include "yuccawick/fairness/fair_share_policy.h"
 
 #include <algorithm>
 #include <cmath>
@@ -15,10 +15,12 @@
 
 }  // namespace
 
-FairSharePolicy::FairSharePolicy(const FairShareSettings& settings, PriorityOf priority_of)
+FairSharePolicy::FairSharePolicy(const FairShareSettings& settings,
+                                 PriorityOf               priority_of)
     : m_settings(settings), m_priority_of(std::move(priority_of)) {}
 
-double FairSharePolicy::AdmissionThreshold(const NewProgram& beginner, Time now) {
+double FairSharePolicy::AdmissionThreshold(const NewProgram& beginner,
+                                           Time              now) {
   double margin = UrgencyMargin(beginner.priority, now);
   if (beginner.late) margin += m_settings.late;
   if (IsOpen(now)) margin = 0;
@@ -27,7 +29,8 @@
   return std::max(1 - margin, kLeastShare);
 }
 
-void FairSharePolicy::Charge(const std::string& workspace, double work, Time now) {
+void FairSharePolicy::Charge(const std::string& workspace, double work,
+                             Time now) {
   if (workspace.empty() || work <= 0) return;
   const UsageCharge charge{workspace, work, 1};
   Add(charge, now);
@@ -48,7 +51,8 @@
   return charges;
 }
 
-void FairSharePolicy::MergePeer(const std::vector<UsageCharge>& charges, Time now) {
+void FairSharePolicy::MergePeer(const std::vector<UsageCharge>& charges,
+                                Time                            now) {
   for (const UsageCharge& charge : charges) {
     const bool sound =
         !charge.workspace.empty() && std::isfinite(charge.work) &&
@@ -74,7 +78,8 @@
   m_turns += charge.turns * growth;
 }
 
-std::vector<FairSharePolicy::WorkspaceUsage> FairSharePolicy::TopWorkspaces(std::size_t most) const {
+std::vector<FairSharePolicy::WorkspaceUsage> FairSharePolicy::TopWorkspaces(
+    std::size_t most) const {
   std::vector<WorkspaceUsage> users;
   users.reserve(m_uses.size());
   for (const auto& [workspace, use] : m_uses) {
@@ -102,7 +107,8 @@
   const double credit = m_settings.credit_turns * m_work / m_turns;
   const double average = std::max((m_work - use.work) / others_weight, credit);
   const double doublings = std::log2(use.work / use.weight / average);
-  return std::clamp(m_settings.step * doublings, 0.0, m_settings.max_usage_margin);
+  return std::clamp(m_settings.step * doublings, 0.0,
+                    m_settings.max_usage_margin);
 }
 
 double FairSharePolicy::UrgencyMargin(int priority, Time now) {
--- a/src/yuccawick/fairness/fair_begin.h
+++ b/src/yuccawick/fairness/fair_share_policy.h
@@ -27,7 +27,7 @@
 #include <unordered_map>
 #include <vector>
 
-#include "yuccawick/fairness/begin_share.h"
+#include "yuccawick/fairness/fairness_policy.h"
 
 namespace yuccawick::fairness {
 
@@ -69,7 +69,7 @@
   };
   // Those that use most, the first one first.
   std::vector<WorkspaceUsage> TopWorkspaces(std::size_t most) const;
-  std::size_t       workspaces() const { return m_uses.size(); }
+  std::size_t                 workspaces() const { return m_uses.size(); }
 
  private:
   struct Use {
@@ -87,17 +87,17 @@
   // Moves the origin to now and drops what has faded.
   void   Sweep(Time now);
 
-  FairShareSettings                           m_settings;
-  PriorityOf                                  m_priority_of;
-  std::unordered_map<std::string, Use>        m_uses;  // by workspace
+  FairShareSettings                            m_settings;
+  PriorityOf                                   m_priority_of;
+  std::unordered_map<std::string, Use>         m_uses;  // by workspace
   // Sums over m_uses, and the turns that were charged, fading alike.
-  double                                      m_work = 0;
-  double                                      m_weight = 0;
-  double                                      m_turns = 0;
-  Time                                        m_origin = 0;
+  double                                       m_work = 0;
+  double                                       m_weight = 0;
+  double                                       m_turns = 0;
+  Time                                         m_origin = 0;
   std::unordered_map<std::string, UsageCharge> m_untold;  // by workspace
   // When each of the first priorities last asked.
-  std::array<std::optional<Time>, 3>          m_asked;
+  std::array<std::optional<Time>, 3>           m_asked;
 };
 
 }  // namespace yuccawick::fairness
--- a/src/yuccawick/fairness/begin_share.h
+++ b/src/yuccawick/fairness/fairness_policy.h
@@ -46,14 +46,15 @@
 // The baseline: first come, first served.
 class FirstComePolicy final : public FairnessPolicy {
  public:
-  double AdmissionThreshold(const NewProgram& /*beginner*/, Time /*now*/) override {
+  double AdmissionThreshold(const NewProgram& /*beginner*/,
+                            Time /*now*/) override {
     return 1.0;
   }
   void Charge(const std::string& /*workspace*/, double /*work*/,
               Time /*now*/) override {}
   std::vector<UsageCharge> TakeUnsent() override { return {}; }
-  void MergePeer(const std::vector<UsageCharge>& /*charges*/, Time /*now*/) override {
-  }
+  void MergePeer(const std::vector<UsageCharge>& /*charges*/,
+                 Time /*now*/) override {}
 };
 
 }  // namespace yuccawick::fairness
--- a/src/yuccawick/gateway/room_desk.cc
+++ b/src/yuccawick/gateway/admission_service.cc
@@ -1,17 +1,17 @@
-#include "yuccawick/gateway/room_desk.h"
+#include "yuccawick/gateway/admission_service.h"
 
 #include <utility>
 
 namespace yuccawick::gateway {
 
 using admission::AdmissionController;
-using admission::CapacityUsage;
 using admission::AdmissionRequest;
+using admission::CapacityUsage;
 
 AdmissionService::AdmissionService(net::EventLoop*                     loop,
-                   const admission::AdmissionSettings* settings,
-                   fairness::FairnessPolicy* share, Log* log, Metrics* metrics,
-                   CapacityLookup room_of)
+                                   const admission::AdmissionSettings* settings,
+                                   fairness::FairnessPolicy* share, Log* log,
+                                   Metrics* metrics, CapacityLookup room_of)
     : m_loop(loop),
       m_settings(settings),
       m_share(share),
@@ -32,7 +32,8 @@
       .admitted;
 }
 
-void AdmissionService::OnTurnEnded(const AdmissionRequest& ask, std::int64_t used) {
+void AdmissionService::OnTurnEnded(const AdmissionRequest& ask,
+                                   std::int64_t            used) {
   const auto room = m_rooms.find(ask.service);
   if (room != m_rooms.end()) room->second.OnTurnEnded(ask, used, m_loop->now());
 }
@@ -57,7 +58,8 @@
   return uses;
 }
 
-void AdmissionService::SetPeerUsage(const std::string& home, const UsageByService& uses) {
+void AdmissionService::SetPeerUsage(const std::string&    home,
+                                    const UsageByService& uses) {
   for (const auto& [service, use] : uses) {
     RoomFor(service).SetPeerUsage(home, use, m_loop->now());
   }
@@ -67,7 +69,8 @@
   return m_share->TakeUnsent();
 }
 
-void AdmissionService::MergePeerCharges(const std::vector<fairness::UsageCharge>& charges) {
+void AdmissionService::MergePeerCharges(
+    const std::vector<fairness::UsageCharge>& charges) {
   m_share->MergePeer(charges, m_loop->now());
 }
 
@@ -78,7 +81,7 @@
     const int refused = room.TakeRefusedCount();
     if (room.empty() && refused == 0) continue;
     const CapacityUsage total = room.TotalUse(m_loop->now());
-    const auto    holds = m_room_of(service);
+    const auto          holds = m_room_of(service);
     m_log->Write(LogEvent::kRoom,
                  {{"service", service},
                   {"programs_here", room.LocalUsage().programs},
--- a/src/yuccawick/gateway/backends.cc
+++ b/src/yuccawick/gateway/backends.cc
@@ -307,8 +307,8 @@
       FindUsable(last->second.server, service, avoid) != nullptr) {
     return last->second.server;
   }
-  const auto reach = traffic::ChooseAffinityScope(prompt.tokens, prompt.memory_part,
-                                       m_thresholds->placement);
+  const auto reach = traffic::ChooseAffinityScope(
+      prompt.tokens, prompt.memory_part, m_thresholds->placement);
   std::vector<traffic::Candidate> all;
   std::vector<traffic::Candidate> fast;
   for (const auto* server :
@@ -321,7 +321,8 @@
     all.push_back(candidate);
     if (!state->pace.slow()) fast.push_back(candidate);
   }
-  return traffic::PreferredServer(prompt.program, fast.empty() ? all : fast, reach);
+  return traffic::PreferredServer(prompt.program, fast.empty() ? all : fast,
+                                  reach);
 }
 
 void Backends::Look(const State& state, traffic::Candidate* candidate) const {
@@ -453,7 +454,7 @@
 }
 
 void Backends::ObserveServiceTime(const std::string& id, std::string_view kind,
-                        double took) {
+                                  double took) {
   const auto found = m_servers.find(id);
   if (found == m_servers.end()) return;
   State&     state = found->second;
@@ -494,7 +495,7 @@
 capacity::ServiceCapacity Backends::ComputeCapacity(
     const std::string& service, const traffic::EngineLimits& engine) const {
   capacity::ServiceCapacity room;
-  const auto            found = m_services.find(service);
+  const auto                found = m_services.find(service);
   if (found == m_services.end()) return room;
   for (const auto* server : found->second.pool.all()) {
     const double pace = m_servers.at(server->id).pace.Lasting().factor;
@@ -530,11 +531,13 @@
 bool Backends::ServerReport::operator==(const ServerReport& other) const {
   // Answers without failures are no news, and failures fade by themselves.
   constexpr double kSame = 0.5;
-  return requests == other.requests && slowdown_changed == other.slowdown_changed &&
+  return requests == other.requests &&
+         slowdown_changed == other.slowdown_changed &&
          std::abs(outcomes.failures - other.outcomes.failures) < kSame;
 }
 
-void Backends::SetPeerReport(const std::string& peer, const ServerReports& news) {
+void Backends::SetPeerReport(const std::string&   peer,
+                             const ServerReports& news) {
   const Time now = m_loop->now();
   PeerNews&  known = m_peers[peer];
   Uncount(known.news);
@@ -542,16 +545,17 @@
   Count(news);
   for (const auto& [id, told] : news) {
     const auto found = m_servers.find(id);
-    if (found != m_servers.end()) found->second.pace.MergePeer(told.slowdown, now);
+    if (found != m_servers.end())
+      found->second.pace.MergePeer(told.slowdown, now);
   }
 }
 
 Backends::ServerReports Backends::LocalReport() const {
   constexpr double kWorthTelling = 0.25;  // of a failure
-  ServerReports             news;
+  ServerReports    news;
   for (const auto& [id, state] : m_servers) {
     ServerReport told{state.load, state.outcomes.At(m_loop->now()),
-                    state.pace.Unsent(), state.pace.NeedsImmediateReport()};
+                      state.pace.Unsent(), state.pace.NeedsImmediateReport()};
     if (told.outcomes.failures < kWorthTelling) told.outcomes = {};
     if (told.requests > 0 || told.outcomes.failures > 0 ||
         told.slowdown.samples > 0) {
--- a/src/yuccawick/gateway/backends.h
+++ b/src/yuccawick/gateway/backends.h
@@ -3,7 +3,7 @@
 // One Backends serves the traffic loop. Acquire() a connection for one request,
 // Release() it when its answer is whole; anything else closes it. Loads are
 // exact for this node and as last heard for others. How fast servers work is
-// observed here and told to neighbours; see capacity/server_pace.h.
+// observed here and told to neighbours; see capacity/server_slowdown.h.
 #pragma once
 
 #include <functional>
@@ -16,8 +16,8 @@
 #include <unordered_map>
 #include <vector>
 
-#include "yuccawick/capacity/server_pace.h"
-#include "yuccawick/capacity/service_room.h"
+#include "yuccawick/capacity/server_slowdown.h"
+#include "yuccawick/capacity/service_capacity.h"
 #include "yuccawick/gateway/thresholds.h"
 #include "yuccawick/net/http.h"
 #include "yuccawick/net/stream.h"
@@ -79,10 +79,10 @@
   const Thresholds*                       m_thresholds;
   std::string                             m_server_id;
   std::function<void(BackendConnection*)> m_on_idle_lost;
-  pressure::MemoryCharge                       m_held_output;
+  pressure::MemoryCharge                  m_held_output;
   net::Stream                             m_stream;
   net::HttpReader                         m_reader;
-  BackendHandler*                            m_user = nullptr;
+  BackendHandler*                         m_user = nullptr;
   net::TimerId                            m_connect_timer = 0;
   bool                                    m_connected = false;
   bool                                    m_skipping = false;
@@ -105,11 +105,11 @@
     traffic::BackendServer server;
     double                 load = 0;  // requests per slot, as far as known
     double                 failure_share = 0;  // of its latest answers
-    double                 slowdown = 1;           // in medians of its service
+    double                 slowdown = 1;       // in medians of its service
   };
   // What a server may have cached of a request.
   struct Prompt {
-    std::string  session;     // requests of one line share a prompt; empty: none
+    std::string  session;  // requests of one line share a prompt; empty: none
     std::string  program;  // lines of one program share its beginning
     std::int64_t tokens = 0;
     double       memory_part = 0;  // see traffic::Candidate
@@ -137,45 +137,47 @@
   void ObserveBadAnswer(const std::string& id);
   // How long a piece of work took there, in ms. `kind`: what it compares with,
   // of this service.
-  void ObserveServiceTime(const std::string& id, std::string_view kind, double took);
+  void ObserveServiceTime(const std::string& id, std::string_view kind,
+                          double took);
   // Forgets what is old and rates servers anew; call about once a second.
   void Sweep();
 
   // A server turned slow, or fast again.
   struct SlowdownChange {
-    std::string    server;
-    std::string    service;
-    bool           slow = false;
+    std::string                server;
+    std::string                service;
+    bool                       slow = false;
     capacity::SlowdownEstimate lasting;
   };
   std::vector<SlowdownChange> TakeSlowdownChanges();
-  std::size_t             slow_servers() const;
-  capacity::ServiceCapacity   ComputeCapacity(const std::string&           service,
-                                 const traffic::EngineLimits& engine) const;
+  std::size_t                 slow_servers() const;
+  capacity::ServiceCapacity   ComputeCapacity(
+        const std::string& service, const traffic::EngineLimits& engine) const;
 
   // What a node knows of a server and tells others.
   struct ServerReport {
-    int                    requests = 0;  // under way there from the node
-    traffic::OutcomeCounts outcomes;
-    capacity::SlowdownEstimate         slowdown;  // observed since it was told last
-    bool                   slowdown_changed = false;  // from what was told before
+    int                        requests = 0;  // under way there from the node
+    traffic::OutcomeCounts     outcomes;
+    capacity::SlowdownEstimate slowdown;  // observed since it was told last
+    bool slowdown_changed = false;        // from what was told before
 
     bool operator==(const ServerReport& other) const;
   };
   using ServerReports = std::map<std::string, ServerReport>;  // by server
-  void        SetPeerReport(const std::string& peer, const ServerReports& news);
-  ServerReports        LocalReport() const;
+  void SetPeerReport(const std::string& peer, const ServerReports& news);
+  ServerReports LocalReport() const;
   // What LocalReport() returned was sent. Leaves of it what holds on.
-  void        OnReportSent(ServerReports* news);
-  std::size_t connections() const { return m_connections.size(); }
-  std::size_t servers() const { return m_servers.size(); }
+  void          OnReportSent(ServerReports* news);
+  std::size_t   connections() const { return m_connections.size(); }
+  std::size_t   servers() const { return m_servers.size(); }
 
  private:
   struct State {
-    explicit State(const capacity::SlowdownSettings& settings) : pace(settings) {}
+    explicit State(const capacity::SlowdownSettings& settings)
+        : pace(settings) {}
 
     traffic::BackendServer          server;
-    capacity::ServerSlowdown            pace;
+    capacity::ServerSlowdown        pace;
     bool                            listed = true;
     int                             load = 0;
     traffic::Outcomes               outcomes;
@@ -189,10 +191,10 @@
   };
   struct PeerNews {
     ServerReports news;
-    Time heard = 0;
+    Time          heard = 0;
   };
   struct Service {
-    traffic::ServerPool pool;  // listed servers that are not leaving
+    traffic::ServerPool        pool;  // listed servers that are not leaving
     capacity::SlowdownBaseline scale;
   };
   void         IndexServers();
@@ -217,19 +219,19 @@
   void          Destroy(BackendConnection* connection);
   void          DropIdle(State* state);
 
-  net::EventLoop*                             m_loop;
-  const Thresholds*                           m_thresholds;
-  std::string                                 m_zone;
-  std::unique_ptr<traffic::Placement>         m_placement;
-  pressure::MemoryBudgetPtr                   m_memory;
-  std::mt19937_64                             m_random;
-  std::unordered_map<std::string, State>      m_servers;   // by id
-  std::unordered_map<std::string, Service>    m_services;  // by name
-  std::vector<SlowdownChange>                     m_pace_changes;
-  std::unordered_map<std::string, LineHome>   m_lines;
-  std::unordered_map<std::string, PeerNews>   m_peers;
+  net::EventLoop*                               m_loop;
+  const Thresholds*                             m_thresholds;
+  std::string                                   m_zone;
+  std::unique_ptr<traffic::Placement>           m_placement;
+  pressure::MemoryBudgetPtr                     m_memory;
+  std::mt19937_64                               m_random;
+  std::unordered_map<std::string, State>        m_servers;   // by id
+  std::unordered_map<std::string, Service>      m_services;  // by name
+  std::vector<SlowdownChange>                   m_pace_changes;
+  std::unordered_map<std::string, LineHome>     m_lines;
+  std::unordered_map<std::string, PeerNews>     m_peers;
   std::unordered_map<std::string, ServerReport> m_heard;  // sum of m_peers
-  Time                                        m_oldest_news = 0;
+  Time                                          m_oldest_news = 0;
   std::unordered_map<BackendConnection*, std::unique_ptr<BackendConnection>>
       m_connections;
 };
--- a/src/yuccawick/gateway/client_connection.h
+++ b/src/yuccawick/gateway/client_connection.h
@@ -34,9 +34,9 @@
   ClientConnection(const GatewayParts& parts, ClientHost* host, int fd);
   ~ClientConnection() override;
 
-  bool             busy() const { return m_exchange != nullptr; }
+  bool                   busy() const { return m_exchange != nullptr; }
   // Ends a connection that rests between two requests.
-  void             CloseIfIdle();
+  void                   CloseIfIdle();
   // What waits for the client, and since when it has taken nothing of it.
   pressure::ClientBuffer buffer() const {
     return {m_stream.pending(), m_stream.stalled()};
@@ -73,8 +73,8 @@
 
   GatewayParts              m_parts;
   ClientHost*               m_host;
-  pressure::MemoryCharge         m_held_body;
-  pressure::MemoryCharge         m_held_output;
+  pressure::MemoryCharge    m_held_body;
+  pressure::MemoryCharge    m_held_output;
   net::Stream               m_stream;
   net::HttpReader           m_reader;
   std::string               m_input;  // read and not yet taken
--- a/src/yuccawick/gateway/exchange.cc
+++ b/src/yuccawick/gateway/exchange.cc
@@ -12,10 +12,10 @@
 
 using traffic::AttemptEvent;
 using traffic::AttemptPhase;
-using traffic::SendFailureCause;
 using traffic::NextStep;
 using traffic::Refusal;
 using traffic::RequestKind;
+using traffic::SendFailureCause;
 
 constexpr double kPercent = 100.0;
 
@@ -204,7 +204,8 @@
   const auto self = shared_from_this();
   m_parts.metrics->CountSendFailure(cause);
   m_tried.push_back(m_server_id);
-  if (cause == SendFailureCause::kBroken || cause == SendFailureCause::kBadAnswer) {
+  if (cause == SendFailureCause::kBroken ||
+      cause == SendFailureCause::kBadAnswer) {
     m_in_doubt = true;
   }
   traffic::SendFailure loss;
@@ -231,7 +232,7 @@
       break;
     case NextStep::kRefuse:
       Refuse(cause == SendFailureCause::kNotRun ? Refusal::kOverloaded
-                                         : Refusal::kNoServer);
+                                                : Refusal::kNoServer);
       break;
     case NextStep::kFail:
       Refuse(Refusal::kServerFailed);
--- a/src/yuccawick/gateway/exchange.h
+++ b/src/yuccawick/gateway/exchange.h
@@ -20,8 +20,8 @@
 #include "yuccawick/gateway/log.h"
 #include "yuccawick/gateway/metrics.h"
 #include "yuccawick/gateway/peer_service.h"
-#include "yuccawick/gateway/turn_gate.h"
-#include "yuccawick/gateway/turn_keeper.h"
+#include "yuccawick/gateway/turn_dispatcher.h"
+#include "yuccawick/gateway/turn_store.h"
 #include "yuccawick/pressure/memory_budget.h"
 #include "yuccawick/traffic/event_stream.h"
 #include "yuccawick/traffic/manifest.h"
@@ -49,7 +49,7 @@
   net::EventLoop*   loop = nullptr;
   const Thresholds* thresholds = nullptr;
   Backends*         backends = nullptr;
-  TurnStore*       turns = nullptr;
+  TurnStore*        turns = nullptr;
   PeerService*      peers = nullptr;
   Log*              log = nullptr;
   Metrics*          metrics = nullptr;
@@ -57,8 +57,8 @@
   // Of the manifest in force, which may be newer than a request's.
   const std::shared_ptr<const traffic::RouteTable>* routes = nullptr;
   const workspaces::KeyLease*                       key_lease = nullptr;
-  RateLimiter*                                          limiter = nullptr;
-  TurnDispatcher*                                         gate = nullptr;
+  RateLimiter*                                      limiter = nullptr;
+  TurnDispatcher*                                   gate = nullptr;
   pressure::MemoryBudgetPtr                         memory;
 };
 
@@ -168,7 +168,7 @@
   Duration                     m_log_patience = 0;  // the longest so far
   // What it waits for, as its client is told if it waits too long.
   traffic::Refusal             m_awaits = traffic::Refusal::kLateUnsent;
-  TurnDispatcher::Id                 m_gate_id = 0;  // of a turn for a model server
+  TurnDispatcher::Id           m_gate_id = 0;  // of a turn for a model server
   // Of its workspace's rate limit.
   std::optional<workspaces::TokenPool::Batch> m_rate_token;
   Duration         m_limit_return = 0;  // ms until its workspace may have room
@@ -201,7 +201,7 @@
   Time                   m_first_event = 0;
   Time                   m_last_event_at = 0;
   Time                   m_sent_at = 0;
-  bool     m_found_free = false;  // places at the server, if known
+  bool        m_found_free = false;  // places at the server, if known
   LogPosition m_kept;                // where the log holds the turn
 };
 
--- a/src/yuccawick/gateway/exchange_answer.cc
+++ b/src/yuccawick/gateway/exchange_answer.cc
@@ -12,9 +12,9 @@
 
 using traffic::AttemptEvent;
 using traffic::AttemptPhase;
-using traffic::SendFailureCause;
 using traffic::Refusal;
 using traffic::RequestKind;
+using traffic::SendFailureCause;
 
 constexpr int                kOk = 200;
 constexpr int                kMostAccepted = 299;
@@ -210,11 +210,11 @@
   m_output.clear();
   CountHeld();
   m_parts.turns->Persist(turn, m_route->retention, m_due,
-                      [self = shared_from_this()](const LogPosition& kept) {
-                        if (self->m_client == nullptr) return;
-                        self->m_kept = kept;
-                        self->FinishAnswer(net::kLastChunk);
-                      });
+                         [self = shared_from_this()](const LogPosition& kept) {
+                           if (self->m_client == nullptr) return;
+                           self->m_kept = kept;
+                           self->FinishAnswer(net::kLastChunk);
+                         });
 }
 
 void Exchange::FinishAnswer(std::string_view last_bytes) {
--- a/src/yuccawick/gateway/exchange_prepare.cc
+++ b/src/yuccawick/gateway/exchange_prepare.cc
@@ -48,7 +48,8 @@
       m_routes->manifest()->workspaces.has_value() && !m_route->is_public;
   if (keyed && !m_parts.key_lease->Holds(m_parts.loop->ReadClock())) {
     m_awaits = Refusal::kKeyUnsure;
-    const bool cut_off = !OutageAge() && m_parts.turns->reader().UnavailableFor() > 0;
+    const bool cut_off =
+        !OutageAge() && m_parts.turns->reader().UnavailableFor() > 0;
     if (cut_off || !WaitsOn()) {
       Refuse(m_awaits);
       return;
@@ -135,7 +136,7 @@
   const Thresholds& limits = *m_parts.thresholds;
   if (!OutageAge()) return limits.log_wait;
   return traffic::OutageHoldTime({limits.outage_hold, limits.outage_hold_share},
-                             m_due - m_began);
+                                 m_due - m_began);
 }
 
 bool Exchange::WaitsOn() {
@@ -159,7 +160,7 @@
         if (self->m_client == nullptr) {
           if (admission.token.tokens > 0) {
             self->m_parts.limiter->Refund(self->m_workspace->name,
-                                           admission.token);
+                                          admission.token);
           }
           return;
         }
@@ -195,9 +196,10 @@
     return;
   }
   if (m_parts.loop->now() == m_began) {
-    m_parts.log->Write(LogEvent::kWaiting,
-                       {{"request", m_info.attempt},
-                        {"log_away_ms", m_parts.turns->reader().UnavailableFor()}});
+    m_parts.log->Write(
+        LogEvent::kWaiting,
+        {{"request", m_info.attempt},
+         {"log_away_ms", m_parts.turns->reader().UnavailableFor()}});
   }
   m_parts.loop->After(m_parts.thresholds->log_wait_pause,
                       [self = shared_from_this()] { self->AwaitLog(); });
--- a/src/yuccawick/gateway/follower.cc
+++ b/src/yuccawick/gateway/follower.cc
@@ -47,8 +47,8 @@
 }  // namespace
 
 TopicFollower::TopicFollower(net::EventLoop* loop, platform::Store* store,
-                             Log* log, Topic topic, std::string name, PollSettings pace,
-                             Callbacks callbacks)
+                             Log* log, Topic topic, std::string name,
+                             PollSettings pace, Callbacks callbacks)
     : m_loop(loop),
       m_store(store),
       m_topic(topic),
--- a/src/yuccawick/gateway/follower.h
+++ b/src/yuccawick/gateway/follower.h
@@ -58,7 +58,7 @@
   net::EventLoop*  m_loop;
   platform::Store* m_store;
   platform::Topic  m_topic;
-  PollSettings             m_pace;
+  PollSettings     m_pace;
   Callbacks        m_callbacks;
   Log*             m_log;
   std::string      m_name;
--- a/src/yuccawick/gateway/gateway.cc
+++ b/src/yuccawick/gateway/gateway.cc
@@ -23,10 +23,10 @@
                                              15'000};
 
 std::vector<TokenCoordinator> MakeDesks(net::EventLoop*      loop,
-                                 const Thresholds*    thresholds,
-                                 platform::RecordLog* store, Log* log,
-                                 const std::string& incarnation,
-                                 AdmissionService*          room) {
+                                        const Thresholds*    thresholds,
+                                        platform::RecordLog* store, Log* log,
+                                        const std::string& incarnation,
+                                        AdmissionService*  room) {
   std::vector<TokenCoordinator> desks;
   desks.reserve(kClaimPartitions);  // desks hand out pointers to themselves
   for (int i = 0; i < kClaimPartitions; ++i) {
@@ -39,7 +39,7 @@
     net::EventLoop* loop, const Thresholds* thresholds,
     platform::RecordLog* store, Log* log, const std::string& incarnation,
     const workspaces::RateLedger::LimitLookup& limit_of,
-    const workspaces::RateWindow&          window) {
+    const workspaces::RateWindow&              window) {
   std::vector<RateCoordinator> desks;
   desks.reserve(kRatePartitions);  // desks hand out pointers to themselves
   for (int i = 0; i < kRatePartitions; ++i) {
@@ -96,9 +96,10 @@
           [this](const std::string& workspace) { return LimitOf(workspace); },
           settings.rate_window)),
       m_network(loop, thresholds, &m_members, log),
-      m_limiter(
-          loop, thresholds, m_members.self(), &m_network, &m_rate_desks,
-          [this](const std::string& key) { return m_peers.RankCoordinators(key); }),
+      m_limiter(loop, thresholds, m_members.self(), &m_network, &m_rate_desks,
+                [this](const std::string& key) {
+                  return m_peers.RankCoordinators(key);
+                }),
       m_gate(loop, thresholds->concurrency_limit),
       m_peers(loop, thresholds, &m_members, &m_network, &m_desks, &m_limiter,
               &m_turns, &m_backends, &m_room),
@@ -263,14 +264,15 @@
 }
 
 void Gateway::DropStalledReaders() {
-  std::vector<ClientConnection*> clients;
-  std::vector<pressure::ClientBuffer>  readers;
+  std::vector<ClientConnection*>      clients;
+  std::vector<pressure::ClientBuffer> readers;
   for (const auto& [raw, owned] : m_clients) {
     clients.push_back(raw);
     readers.push_back(raw->buffer());
   }
   while (m_memory->IsFull()) {
-    const auto drop = ChooseClientToDrop(readers, m_thresholds->memory.full_stall_timeout);
+    const auto drop =
+        ChooseClientToDrop(readers, m_thresholds->memory.full_stall_timeout);
     if (drop == pressure::kNoClient) return;
     m_log->Write(LogEvent::kPressure, {{"reader", "let_go"},
                                        {"waiting", readers[drop].waiting},
@@ -313,7 +315,8 @@
   constexpr double kPercent = 100.0;
   m_metrics->Set(Gauge::kSlowServers,
                  static_cast<double>(m_backends.slow_servers()));
-  for (const Backends::SlowdownChange& change : m_backends.TakeSlowdownChanges()) {
+  for (const Backends::SlowdownChange& change :
+       m_backends.TakeSlowdownChanges()) {
     m_log->Write(
         LogEvent::kPace,
         {{"server", change.server},
@@ -377,8 +380,9 @@
   const bool served =
       m_listener < 0 && m_clients.empty() && m_turns.pending_persists() == 0;
   if (served || m_loop->now() >= m_stop_due) {
-    m_log->Write(LogEvent::kStopped, {{"connections_cut", m_clients.size()},
-                                      {"turns_not_durable", m_turns.pending_persists()}});
+    m_log->Write(LogEvent::kStopped,
+                 {{"connections_cut", m_clients.size()},
+                  {"turns_not_durable", m_turns.pending_persists()}});
     for (TokenCoordinator& desk : m_desks) desk.ReleaseAllUnused();
     m_store.Put(platform::Topic::kNodes, m_settings.node, std::nullopt,
                 m_thresholds->log_timeout,
--- a/src/yuccawick/gateway/gateway.h
+++ b/src/yuccawick/gateway/gateway.h
@@ -10,7 +10,7 @@
 
 #include "platform/settings.h"
 #include "platform/store.h"
-#include "yuccawick/fairness/fair_begin.h"
+#include "yuccawick/fairness/fair_share_policy.h"
 #include "yuccawick/gateway/client_connection.h"
 #include "yuccawick/gateway/small_server.h"
 
@@ -67,7 +67,7 @@
   void                                 FinishWhenIdle();
   bool                                 Ready() const;
   // Of a model service; of others, and while servers are unknown, nothing.
-  capacity::ServiceCapacity                RoomOf(const std::string& service) const;
+  capacity::ServiceCapacity            RoomOf(const std::string& service) const;
   std::optional<workspaces::RateLimit> LimitOf(
       const std::string& workspace) const;
   // Of a workspace; without one of its own, of all that have none.
@@ -83,36 +83,36 @@
   // Lets go of clients that do not take their answers, while memory is full.
   void DropStalledReaders();
 
-  net::EventLoop*           m_loop;
-  const Thresholds*         m_thresholds;
-  platform::Settings        m_settings;
-  Log*                      m_log;
-  Metrics*                  m_metrics;
-  Time                      m_started;
-  platform::Store           m_store;
-  pressure::MemoryBudgetPtr m_memory;
-  pressure::MemoryCharge         m_held_turns;
-  Backends                  m_backends;
-  TurnStore                m_turns;
-  fairness::FairSharePolicy       m_begin_share;
-  AdmissionService                  m_room;
-  std::vector<TokenCoordinator>    m_desks;  // by partition of the claims
-  workspaces::KeyLease      m_key_lease;
-  programs::Membership      m_members;
-  std::vector<RateCoordinator>     m_rate_desks;  // by partition of the rate claims
-  PeerNetwork               m_network;
-  RateLimiter                   m_limiter;
-  TurnDispatcher                  m_gate;
-  PeerService               m_peers;
-  SmallServer               m_readiness;
-  SmallServer               m_metrics_server;
-  int                       m_listener = -1;
-  bool                      m_servers_known = false;
-  bool                      m_stopping = false;
-  bool                      m_closing = false;
-  Time                      m_stop_due = 0;
-  Time                      m_accepted_at = 0;  // the last connection
-  Time                      m_use_written_at = 0;
+  net::EventLoop*               m_loop;
+  const Thresholds*             m_thresholds;
+  platform::Settings            m_settings;
+  Log*                          m_log;
+  Metrics*                      m_metrics;
+  Time                          m_started;
+  platform::Store               m_store;
+  pressure::MemoryBudgetPtr     m_memory;
+  pressure::MemoryCharge        m_held_turns;
+  Backends                      m_backends;
+  TurnStore                     m_turns;
+  fairness::FairSharePolicy     m_begin_share;
+  AdmissionService              m_room;
+  std::vector<TokenCoordinator> m_desks;  // by partition of the claims
+  workspaces::KeyLease          m_key_lease;
+  programs::Membership          m_members;
+  std::vector<RateCoordinator> m_rate_desks;  // by partition of the rate claims
+  PeerNetwork                  m_network;
+  RateLimiter                  m_limiter;
+  TurnDispatcher               m_gate;
+  PeerService                  m_peers;
+  SmallServer                  m_readiness;
+  SmallServer                  m_metrics_server;
+  int                          m_listener = -1;
+  bool                         m_servers_known = false;
+  bool                         m_stopping = false;
+  bool                         m_closing = false;
+  Time                         m_stop_due = 0;
+  Time                         m_accepted_at = 0;  // the last connection
+  Time                         m_use_written_at = 0;
   std::shared_ptr<const traffic::RouteTable> m_routes;
   std::unordered_map<ClientConnection*, std::unique_ptr<ClientConnection>>
       m_clients;
--- a/src/yuccawick/gateway/metrics.h
+++ b/src/yuccawick/gateway/metrics.h
@@ -78,11 +78,11 @@
     LogUse               told;  // by TakeLogUse()
   };
   std::array<LogCalls, platform::kTopicCount * platform::kCallKindCount>
-                                                       m_log_calls;
-  std::array<prometheus::Gauge*, kGaugeCount>          m_gauges{};
+                                                             m_log_calls;
+  std::array<prometheus::Gauge*, kGaugeCount>                m_gauges{};
   std::array<prometheus::Gauge*, pressure::kMemoryKindCount> m_held_bytes{};
-  prometheus::Gauge*                                   m_memory_bound = nullptr;
-  prometheus::Gauge*                                   m_memory_level = nullptr;
+  prometheus::Gauge*     m_memory_bound = nullptr;
+  prometheus::Gauge*     m_memory_level = nullptr;
   prometheus::Counter*   m_readers_let_go = nullptr;
   prometheus::Histogram* m_answer_seconds = nullptr;
   prometheus::Histogram* m_first_event_seconds = nullptr;
--- a/src/yuccawick/gateway/peer_network.cc
+++ b/src/yuccawick/gateway/peer_network.cc
@@ -201,7 +201,7 @@
   }
 
   PeerNetwork* m_network;
-  ConnectionId    m_id;
+  ConnectionId m_id;
   net::Stream  m_stream;
   FrameReader  m_frames;
   std::string  m_node;
@@ -255,8 +255,9 @@
   return raw;
 }
 
-std::uint64_t PeerNetwork::SendRequest(const programs::NodeInfo& node, const Fill& fill,
-                               Duration timeout, Answered done) {
+std::uint64_t PeerNetwork::SendRequest(const programs::NodeInfo& node,
+                                       const Fill& fill, Duration timeout,
+                                       Answered done) {
   const std::uint64_t number = ++m_last_number;
   Link*               link = LinkTo(node);
   if (link == nullptr) {
--- a/src/yuccawick/gateway/peer_network.h
+++ b/src/yuccawick/gateway/peer_network.h
@@ -59,7 +59,7 @@
 
   // Returns the question's number.
   std::uint64_t SendRequest(const programs::NodeInfo& node, const Fill& fill,
-                    Duration timeout, Answered done);
+                            Duration timeout, Answered done);
   void          SendOneWay(const programs::NodeInfo& node, const Fill& fill);
 
   void OnReadable() override;
@@ -76,15 +76,15 @@
   void  DropLink(const std::string& node, bool suspect);
   void  DropSession(ConnectionId id);
 
-  net::EventLoop*                                         m_loop;
-  const Thresholds*                                       m_thresholds;
-  programs::Membership*                                   m_members;
-  Log*                                                    m_log;
-  MessageHandler*                                                m_service = nullptr;
-  int                                                     m_listener = -1;
-  std::uint64_t                                           m_last_number = 0;
-  ConnectionId                                               m_last_session = 0;
-  std::unordered_map<std::string, std::unique_ptr<Link>>  m_links;
+  net::EventLoop*                                        m_loop;
+  const Thresholds*                                      m_thresholds;
+  programs::Membership*                                  m_members;
+  Log*                                                   m_log;
+  MessageHandler*                                        m_service = nullptr;
+  int                                                    m_listener = -1;
+  std::uint64_t                                          m_last_number = 0;
+  ConnectionId                                           m_last_session = 0;
+  std::unordered_map<std::string, std::unique_ptr<Link>> m_links;
   std::unordered_map<ConnectionId, std::unique_ptr<Session>> m_sessions;
 };
 
--- a/src/yuccawick/gateway/peer_service.cc
+++ b/src/yuccawick/gateway/peer_service.cc
@@ -25,8 +25,8 @@
   return static_cast<ReserveOutcome>(reserved);
 }
 
-void SetAsk(const admission::AdmissionRequest&         ask,
-            programs::wire::Reserve::Builder* reserve) {
+void SetAsk(const admission::AdmissionRequest& ask,
+            programs::wire::Reserve::Builder*  reserve) {
   if (ask.service.empty()) return;
   reserve->setService(ask.service);
   reserve->setRoute(ask.route);
@@ -38,7 +38,8 @@
   reserve->setLeftMs(ask.left.value_or(0));
 }
 
-void FillRoomUse(const AdmissionService::UsageByService& uses, PeerMessage::Builder message) {
+void FillRoomUse(const AdmissionService::UsageByService& uses,
+                 PeerMessage::Builder                    message) {
   unsigned size = 0;
   for (const auto& [service, parts] : uses) {
     size += static_cast<unsigned>(parts.size());
@@ -76,8 +77,9 @@
 
 PeerService::PeerService(net::EventLoop* loop, const Thresholds* thresholds,
                          programs::Membership* members, PeerNetwork* network,
-                         std::vector<TokenCoordinator>* desks, RateLimiter* limiter,
-                         TurnStore* turns, Backends* backends, AdmissionService* room)
+                         std::vector<TokenCoordinator>* desks,
+                         RateLimiter* limiter, TurnStore* turns,
+                         Backends* backends, AdmissionService* room)
     : m_loop(loop),
       m_thresholds(thresholds),
       m_members(members),
@@ -127,7 +129,8 @@
 // Nodes that are cut from the log for seconds come last: with three of eight
 // cut, all homes that are asked for some partition may be among them, and its
 // programs would be refused as long as the cut lasts.
-std::vector<NodeInfo> PeerService::RankCoordinators(const std::string& key) const {
+std::vector<NodeInfo> PeerService::RankCoordinators(
+    const std::string& key) const {
   auto       homes = m_members->RankCoordinators(key);
   // At the end of an outage of all, each hears of the others' return at another
   // time: 30 nodes took themselves for homes at once, and claims that others
@@ -135,15 +138,17 @@
   const bool outage_of_all = m_log_away_at && m_loop->now() - *m_log_away_at <
                                                   m_thresholds->outage_settling;
   if (outage_of_all) return homes;
-  std::stable_partition(
-      homes.begin(), homes.end(),
-      [this](const NodeInfo& node) { return !m_turns.ReportedLogUnavailable(node.name); });
+  std::stable_partition(homes.begin(), homes.end(),
+                        [this](const NodeInfo& node) {
+                          return !m_turns.ReportedLogUnavailable(node.name);
+                        });
   return homes;
 }
 
 void PeerService::ReserveFrom(const TurnBudget& turn, std::size_t rank,
                               Time until, const ReserveDone& done) {
-  const auto homes = RankCoordinators(TokenCoordinatorKey(ClaimPartitionOf(turn.program)));
+  const auto homes =
+      RankCoordinators(TokenCoordinatorKey(ClaimPartitionOf(turn.program)));
   if (rank >= std::min(homes.size(), kMaxHomes)) {
     ReserveUnsure(turn, until, done);
     return;
@@ -241,8 +246,8 @@
 }
 
 void PeerService::ServeReserve(PeerNetwork::ConnectionId session,
-                               PeerMessage::Reader    message,
-                               PeerNetwork::Reply     reply) {
+                               PeerMessage::Reader       message,
+                               PeerNetwork::Reply        reply) {
   const auto       asked = message.getReserve();
   const TurnBudget turn{asked.getProgram().cStr(), asked.getBudget(),
                         asked.getMost(), GetAsk(asked)};
@@ -278,7 +283,7 @@
 }
 
 void PeerService::ServeSettle(PeerNetwork::ConnectionId session,
-                              PeerMessage::Reader    message) {
+                              PeerMessage::Reader       message) {
   const auto settle = message.getSettle();
   const auto held = m_reserved.find(session);
   if (held == m_reserved.end()) return;
@@ -358,8 +363,8 @@
   }
   m_outage_told_at = m_loop->now();
   for (const NodeInfo& node : m_members->Others()) {
-    m_network->SendOneWay(node,
-                    [](PeerMessage::Builder message) { message.setLogAway(); });
+    m_network->SendOneWay(
+        node, [](PeerMessage::Builder message) { message.setLogAway(); });
   }
 }
 
@@ -464,9 +469,9 @@
 }
 
 void PeerService::OnMessage(PeerNetwork::ConnectionId session,
-                            const std::string&     node,
-                            PeerMessage::Reader    message,
-                            PeerNetwork::Reply     reply) {
+                            const std::string&        node,
+                            PeerMessage::Reader       message,
+                            PeerNetwork::Reply        reply) {
   switch (message.which()) {
     case PeerMessage::RESERVE:
       ServeReserve(session, message, std::move(reply));
--- a/src/yuccawick/gateway/peer_turns.cc
+++ b/src/yuccawick/gateway/peer_turns.cc
@@ -30,8 +30,9 @@
 
 std::vector<NodeInfo> PeerTurns::WhoReachLog() const {
   auto nodes = m_members->Others();
-  std::erase_if(nodes,
-                [this](const NodeInfo& node) { return ReportedLogUnavailable(node.name); });
+  std::erase_if(nodes, [this](const NodeInfo& node) {
+    return ReportedLogUnavailable(node.name);
+  });
   return nodes;
 }
 
@@ -137,7 +138,8 @@
 // read for seconds (8 at 30 Mbit/s, with 11 MB to read). All questions of the
 // zone would wait for it, though the second one knows the answers.
 std::vector<NodeInfo> PeerTurns::ReadersOf(int partition) const {
-  auto readers = m_members->RankCoordinators("turns " + std::to_string(partition));
+  auto readers =
+      m_members->RankCoordinators("turns " + std::to_string(partition));
   std::erase_if(readers, [this](const NodeInfo& node) {
     return node.zone != m_members->self().zone;
   });
@@ -152,8 +154,8 @@
 }
 
 ReaderLocation PeerTurns::AskReader(int partition, const std::string& id,
-                              std::size_t                        rank,
-                              std::function<void(const Lookup&)> done) {
+                                    std::size_t                        rank,
+                                    std::function<void(const Lookup&)> done) {
   const auto readers = ReadersOf(partition);
   if (rank >= readers.size()) return ReaderLocation::kNobody;
   const NodeInfo& reader = readers[rank];
@@ -185,20 +187,20 @@
 }
 
 void PeerTurns::ServePersist(PeerMessage::Reader       message,
-                          const PeerNetwork::Reply& reply) {
+                             const PeerNetwork::Reply& reply) {
   const auto keep = message.getKeepTurn();
   m_turns->PersistForPeer(programs::Read(keep.getTurn()), keep.getRetentionMs(),
-                   [reply](std::optional<LogPosition> kept) {
-                     reply([kept](PeerMessage::Builder answer) {
-                       if (!kept) {
-                         answer.setTurnNotKept();
-                         return;
-                       }
-                       auto turn_kept = answer.initTurnKept();
-                       turn_kept.setPartition(kept->partition);
-                       turn_kept.setOffset(kept->offset);
-                     });
-                   });
+                          [reply](std::optional<LogPosition> kept) {
+                            reply([kept](PeerMessage::Builder answer) {
+                              if (!kept) {
+                                answer.setTurnNotKept();
+                                return;
+                              }
+                              auto turn_kept = answer.initTurnKept();
+                              turn_kept.setPartition(kept->partition);
+                              turn_kept.setOffset(kept->offset);
+                            });
+                          });
 }
 
 void PeerTurns::ServeFind(PeerMessage::Reader       message,
--- a/src/yuccawick/gateway/peer_turns.h
+++ b/src/yuccawick/gateway/peer_turns.h
@@ -14,7 +14,7 @@
 
 #include "yuccawick/gateway/peer_network.h"
 #include "yuccawick/gateway/thresholds.h"
-#include "yuccawick/gateway/turn_keeper.h"
+#include "yuccawick/gateway/turn_store.h"
 
 namespace yuccawick::gateway {
 
@@ -27,19 +27,21 @@
             programs::Membership* members, PeerNetwork* network,
             TurnStore* turns);
 
-  void     AskForTurn(const std::string&                id,
-                      std::function<void(const Turns&)> done) override;
-  ReaderLocation AskReader(int partition, const std::string& id, std::size_t rank,
-                     std::function<void(const Lookup&)> done) override;
-  bool     AnyReachesLog() const override { return !WhoReachLog().empty(); }
-  void     AppendFor(const programs::Turn& turn, Duration retention,
-                     std::size_t attempt, AppendDone done) override;
+  void           AskForTurn(const std::string&                id,
+                            std::function<void(const Turns&)> done) override;
+  ReaderLocation AskReader(int partition, const std::string& id,
+                           std::size_t                        rank,
+                           std::function<void(const Lookup&)> done) override;
+  bool AnyReachesLog() const override { return !WhoReachLog().empty(); }
+  void AppendFor(const programs::Turn& turn, Duration retention,
+                 std::size_t attempt, AppendDone done) override;
   // The node said that the log does not answer it, or could not append.
-  void     MarkLogUnavailable(const std::string& node);
+  void MarkLogUnavailable(const std::string& node);
   // Whether it said so lately.
-  bool     ReportedLogUnavailable(const std::string& node) const;
+  bool ReportedLogUnavailable(const std::string& node) const;
 
-  void ServePersist(PeerMessage::Reader message, const PeerNetwork::Reply& reply);
+  void ServePersist(PeerMessage::Reader       message,
+                    const PeerNetwork::Reply& reply);
   void ServeFind(PeerMessage::Reader message, const PeerNetwork::Reply& reply);
 
  private:
@@ -59,7 +61,7 @@
   const Thresholds*                     m_thresholds;
   programs::Membership*                 m_members;
   PeerNetwork*                          m_network;
-  TurnStore*                           m_turns;
+  TurnStore*                            m_turns;
   // When each node was last without the log.
   std::unordered_map<std::string, Time> m_without_log;
   // When each reader last said that it still reads.
--- a/src/yuccawick/gateway/rate_desk.cc
+++ b/src/yuccawick/gateway/rate_coordinator.cc
@@ -1,4 +1,4 @@
-#include "yuccawick/gateway/rate_desk.h"
+#include "yuccawick/gateway/rate_coordinator.h"
 
 #include <xxhash.h>
 
@@ -16,9 +16,9 @@
 using platform::StoreFailure;
 using platform::StoreResult;
 using platform::Topic;
-using workspaces::RateResponse;
-using workspaces::RateRequest;
 using workspaces::RateRecord;
+using workspaces::RateRequest;
+using workspaces::RateResponse;
 
 // Records before its own first one that a desk reads: some seconds' claims.
 constexpr std::int64_t kTailRecords = 64;
@@ -44,11 +44,11 @@
   return "rates " + std::to_string(partition);
 }
 
-RateCoordinator::RateCoordinator(net::EventLoop* loop, const Thresholds* thresholds,
-                   platform::RecordLog* store, Log* log,
-                   std::string incarnation, int partition,
-                   const workspaces::RateLedger::LimitLookup& limit_of,
-                   const workspaces::RateWindow&          window)
+RateCoordinator::RateCoordinator(
+    net::EventLoop* loop, const Thresholds* thresholds,
+    platform::RecordLog* store, Log* log, std::string incarnation,
+    int partition, const workspaces::RateLedger::LimitLookup& limit_of,
+    const workspaces::RateWindow& window)
     : m_loop(loop),
       m_thresholds(thresholds),
       m_store(store),
@@ -83,7 +83,7 @@
     return;
   }
   struct Reply {
-    Done       done;
+    Done         done;
     RateResponse answer;
   };
   std::vector<Reply>   replies;
@@ -145,8 +145,9 @@
 
 // Claiming -------------------------------------------------------------------
 
-void RateCoordinator::Append(const RateRecord&                                record,
-                      std::function<void(std::optional<std::int64_t>)> done) {
+void RateCoordinator::Append(
+    const RateRecord&                                record,
+    std::function<void(std::optional<std::int64_t>)> done) {
   m_appender.Add(programs::EncodeRate(record),
                  [done = std::move(done)](const Appender::Result& result) {
                    done(result ? std::optional(result->offset) : std::nullopt);
@@ -188,7 +189,7 @@
 }
 
 void RateCoordinator::ClaimAppended(const RateRecord& record, Time sent,
-                             std::optional<std::int64_t> offset) {
+                                    std::optional<std::int64_t> offset) {
   if (!offset || *offset < m_next || *offset - m_next > kMostBetween) {
     Close();
     return;
@@ -268,8 +269,8 @@
 }
 
 void RateCoordinator::ReadUpTo(std::int64_t from, std::int64_t to,
-                        const TakeRecord&            take,
-                        const std::function<void()>& done) {
+                               const TakeRecord&            take,
+                               const std::function<void()>& done) {
   if (from >= to) {
     done();
     return;
--- a/src/yuccawick/gateway/rate_desk.h
+++ b/src/yuccawick/gateway/rate_coordinator.h
@@ -1,4 +1,4 @@
-// Carries out workspaces/rate_home.h for one partition of the rate claims:
+// Carries out workspaces/rate_allocator.h for one partition of the rate claims:
 // appends claims to the platform's log, and reads what others claimed in
 // between.
 //
@@ -15,7 +15,7 @@
 #include "yuccawick/gateway/appender.h"
 #include "yuccawick/gateway/log_health.h"
 #include "yuccawick/gateway/thresholds.h"
-#include "yuccawick/workspaces/rate_home.h"
+#include "yuccawick/workspaces/rate_allocator.h"
 
 namespace yuccawick::gateway {
 
@@ -34,9 +34,10 @@
   using Done = std::function<void(const workspaces::RateResponse&)>;
 
   RateCoordinator(net::EventLoop* loop, const Thresholds* thresholds,
-           platform::RecordLog* store, Log* log, std::string incarnation,
-           int partition, const workspaces::RateLedger::LimitLookup& limit_of,
-           const workspaces::RateWindow& window);
+                  platform::RecordLog* store, Log* log, std::string incarnation,
+                  int                                        partition,
+                  const workspaces::RateLedger::LimitLookup& limit_of,
+                  const workspaces::RateWindow&              window);
 
   // `done` is called once, within `rate_answer` ms.
   void RequestTokens(const workspaces::RateRequest& ask, Done done);
@@ -51,9 +52,9 @@
  private:
   enum class State : std::uint8_t { kClosed, kOpening, kOpen };
   struct Waiting {
-    std::uint64_t                 number = 0;
+    std::uint64_t                               number = 0;
     workspaces::RateAllocator::SubmittedRequest entered;
-    Done                          done;
+    Done                                        done;
   };
   // A claim in the log, behind others that are still to be read.
   struct Claimed {
@@ -82,26 +83,26 @@
   void     ReadUpTo(std::int64_t from, std::int64_t to, const TakeRecord& take,
                     const std::function<void()>& done);
 
-  net::EventLoop*      m_loop;
-  const Thresholds*    m_thresholds;
-  platform::RecordLog* m_store;
-  LogHealth            m_health;
-  Log*                 m_log;
-  std::string          m_incarnation;
-  int                  m_partition;
+  net::EventLoop*           m_loop;
+  const Thresholds*         m_thresholds;
+  platform::RecordLog*      m_store;
+  LogHealth                 m_health;
+  Log*                      m_log;
+  std::string               m_incarnation;
+  int                       m_partition;
   workspaces::RateAllocator m_home;
-  Appender             m_appender;
-  State                m_state = State::kClosed;
-  std::int64_t         m_next = 0;  // offset after what was taken
-  bool                 m_claiming = false;
-  bool                 m_claim_due = false;  // a timer runs
-  Time                 m_claimed_at = 0;     // sent
+  Appender                  m_appender;
+  State                     m_state = State::kClosed;
+  std::int64_t              m_next = 0;  // offset after what was taken
+  bool                      m_claiming = false;
+  bool                      m_claim_due = false;  // a timer runs
+  Time                      m_claimed_at = 0;     // sent
   // Records of other homes between the last two claims of this one.
-  std::int64_t         m_others = 0;
-  std::int64_t         m_last_offset = -1;  // of its own last record
-  Time                 m_last_acked = 0;
-  std::uint64_t        m_last_question = 0;
-  std::vector<Waiting> m_waiting;
+  std::int64_t              m_others = 0;
+  std::int64_t              m_last_offset = -1;  // of its own last record
+  Time                      m_last_acked = 0;
+  std::uint64_t             m_last_question = 0;
+  std::vector<Waiting>      m_waiting;
 };
 
 }  // namespace yuccawick::gateway
--- a/src/yuccawick/gateway/limiter.cc
+++ b/src/yuccawick/gateway/rate_limiter.cc
@@ -1,4 +1,4 @@
-#include "yuccawick/gateway/limiter.h"
+#include "yuccawick/gateway/rate_limiter.h"
 
 #include <xxhash.h>
 
@@ -11,8 +11,8 @@
 namespace yuccawick::gateway {
 namespace {
 
-using workspaces::RateResponse;
 using workspaces::RateRequest;
+using workspaces::RateResponse;
 
 // Homes that are asked one after the other.
 constexpr std::size_t  kMostHomes = 3;
@@ -48,8 +48,9 @@
 }  // namespace
 
 RateLimiter::RateLimiter(net::EventLoop* loop, const Thresholds* thresholds,
-                 const programs::NodeInfo& self, PeerNetwork* network,
-                 std::vector<RateCoordinator>* desks, CoordinatorLookup homes_for)
+                         const programs::NodeInfo& self, PeerNetwork* network,
+                         std::vector<RateCoordinator>* desks,
+                         CoordinatorLookup             homes_for)
     : m_loop(loop),
       m_thresholds(thresholds),
       m_self(self),
@@ -83,7 +84,7 @@
 // Admitting ------------------------------------------------------------------
 
 bool RateLimiter::TakeToken(Local* local, const Waiter& waiter,
-                        RateLimitResult* admission) {
+                            RateLimitResult* admission) {
   admission->token = local->pool.TakeUpTo(1, m_loop->ReadClock());
   if (admission->token.tokens == 0) return false;
   admission->outcome = RateLimitOutcome::kAdmitted;
@@ -94,7 +95,7 @@
 }
 
 void RateLimiter::Acquire(const workspaces::Workspace& workspace,
-                    const ProgramStep& step, Done done) {
+                          const ProgramStep& step, Done done) {
   if (!workspace.limit) {
     done({RateLimitOutcome::kAdmitted, 0, {}});
     return;
@@ -107,9 +108,9 @@
                 std::move(done)};
   waiter.known = waiter.program == 0 || step.continues ||
                  m_programs.contains(waiter.program);
-  RateLimitResult  admission;
-  const bool scarce = now < local.scarce_until;
-  const bool may_take = local.waiting.empty() && (waiter.known || !scarce);
+  RateLimitResult admission;
+  const bool      scarce = now < local.scarce_until;
+  const bool      may_take = local.waiting.empty() && (waiter.known || !scarce);
   if (may_take && TakeToken(&local, waiter, &admission)) {
     Ask(workspace.name);
     waiter.done(admission);
@@ -120,7 +121,7 @@
 }
 
 void RateLimiter::Refund(const std::string&                  workspace,
-                      const workspaces::TokenPool::Batch& token) {
+                         const workspaces::TokenPool::Batch& token) {
   m_locals[workspace].pool.Add(token);
 }
 
@@ -133,14 +134,14 @@
   Local&     local = m_locals[workspace];
   const bool scarce = m_loop->now() < local.scarce_until;
   struct Admitted {
-    Done      done;
+    Done            done;
     RateLimitResult admission;
   };
   std::vector<Admitted> admitted;
   std::deque<Waiter>    left;
   for (Waiter& waiter : local.waiting) {
-    RateLimitResult  admission;
-    const bool may_take = waiter.known || !scarce;
+    RateLimitResult admission;
+    const bool      may_take = waiter.known || !scarce;
     if (may_take && TakeToken(&local, waiter, &admission)) {
       admitted.push_back({std::move(waiter.done), admission});
     } else {
@@ -151,8 +152,9 @@
   for (const Admitted& each : admitted) each.done(each.admission);
 }
 
-void RateLimiter::TurnAway(const std::string& workspace, RateLimitOutcome outcome,
-                       const RateResponse& answer) {
+void RateLimiter::TurnAway(const std::string&  workspace,
+                           RateLimitOutcome    outcome,
+                           const RateResponse& answer) {
   Local&              local = m_locals[workspace];
   const Time          now = m_loop->now();
   std::deque<Waiter>  left;
@@ -165,8 +167,8 @@
                                   : m_thresholds->rate_wait;
     // A program that may not begin now is told at once; one under way waits
     // while that is of use.
-    const bool     useless =
-        now + std::max(answer.retry_delay, kLeastPause) >= waiter.since + patience;
+    const bool     useless = now + std::max(answer.retry_delay, kLeastPause) >=
+                         waiter.since + patience;
     const bool ends = useless || (!waiter.known && answer.scarce);
     (ends ? ended.emplace_back(std::move(waiter))
           : left.emplace_back(std::move(waiter)));
@@ -174,15 +176,18 @@
   local.waiting = std::move(left);
   for (const Waiter& waiter : ended) {
     waiter.done(
-        {outcome, waiter.known ? answer.retry_delay : answer.new_program_retry_delay, {}});
+        {outcome,
+         waiter.known ? answer.retry_delay : answer.new_program_retry_delay,
+         {}});
   }
 }
 
 // Asking ---------------------------------------------------------------------
 
-RateRequest RateLimiter::NextAsk(const std::string& workspace, Local* local) const {
-  const Time now = m_loop->now();
-  RateRequest    ask;
+RateRequest RateLimiter::NextAsk(const std::string& workspace,
+                                 Local*             local) const {
+  const Time  now = m_loop->now();
+  RateRequest ask;
   ask.workspace = workspace;
   for (const Waiter& waiter : local->waiting) {
     if (waiter.known) {
@@ -216,8 +221,10 @@
   AskRank(NextAsk(workspace, &local), 0, m_loop->now());
 }
 
-void RateLimiter::AskRank(const RateRequest& ask, std::size_t rank, Time asked) {
-  const auto homes = m_homes_for(RateCoordinatorKey(RatePartitionOf(ask.workspace)));
+void RateLimiter::AskRank(const RateRequest& ask, std::size_t rank,
+                          Time asked) {
+  const auto homes =
+      m_homes_for(RateCoordinatorKey(RatePartitionOf(ask.workspace)));
   if (rank >= std::min(homes.size(), kMostHomes)) {
     RateResponse unsure;
     unsure.unsure = true;
@@ -239,8 +246,9 @@
   }
 }
 
-void RateLimiter::AskNode(const programs::NodeInfo& home, const RateRequest& ask,
-                      const RateCoordinator::Done& done) {
+void RateLimiter::AskNode(const programs::NodeInfo&    home,
+                          const RateRequest&           ask,
+                          const RateCoordinator::Done& done) {
   m_network->SendRequest(
       home,
       [&ask](PeerMessage::Builder message) {
@@ -284,7 +292,7 @@
 }
 
 void RateLimiter::TakeAnswer(const RateRequest& ask, const RateResponse& answer,
-                         Time asked) {
+                             Time asked) {
   Local& local = m_locals[ask.workspace];
   local.asking = false;
   if (answer.scarce) local.scarce_until = m_loop->now() + kScarceMemory;
@@ -303,12 +311,14 @@
   }
   ServeWaiting(ask.workspace);
   TurnAway(ask.workspace,
-           answer.unsure ? RateLimitOutcome::kUnsure : RateLimitOutcome::kOver, answer);
+           answer.unsure ? RateLimitOutcome::kUnsure : RateLimitOutcome::kOver,
+           answer);
   if (m_locals[ask.workspace].waiting.empty()) return;
-  AskLater(ask.workspace, answer.unsure ? m_thresholds->reserve_pause
-                          : answer.tokens > 0
-                              ? 0
-                              : std::max<Duration>(answer.retry_delay, kLeastPause));
+  AskLater(ask.workspace,
+           answer.unsure ? m_thresholds->reserve_pause
+           : answer.tokens > 0
+               ? 0
+               : std::max<Duration>(answer.retry_delay, kLeastPause));
 }
 
 void RateLimiter::AskLater(const std::string& workspace, Duration delay) {
@@ -316,9 +326,9 @@
 }
 
 void RateLimiter::ServeRequest(PeerMessage::Reader       message,
-                       const PeerNetwork::Reply& reply) {
-  const auto asked = message.getRateAsk();
-  RateRequest    ask;
+                               const PeerNetwork::Reply& reply) {
+  const auto  asked = message.getRateAsk();
+  RateRequest ask;
   ask.workspace = asked.getWorkspace().cStr();
   ask.want = asked.getWant();
   for (const auto program : asked.getWaiting()) ask.waiting.push_back(program);
@@ -339,7 +349,8 @@
       rate.setOrigin(answer.origin);
       rate.setValidMs(static_cast<std::uint32_t>(answer.valid));
       rate.setRetryMs(static_cast<std::uint32_t>(answer.retry_delay));
-      rate.setBeginRetryMs(static_cast<std::uint32_t>(answer.new_program_retry_delay));
+      rate.setBeginRetryMs(
+          static_cast<std::uint32_t>(answer.new_program_retry_delay));
       rate.setScarce(answer.scarce);
       rate.setPlenty(answer.plenty);
     });
--- a/src/yuccawick/gateway/limiter.h
+++ b/src/yuccawick/gateway/rate_limiter.h
@@ -6,10 +6,9 @@
 // hand, or waits for the home's answer, a few ms. What a request took and did
 // not use goes back.
 //
-//   Admit(workspace, program, done)   `done` once: admitted, or why not
-//   PutBack(workspace, token)         the request was not sent to a server
-//   Charge(workspace)                 a request is sent again, and may run
-//   twice
+//   Acquire(workspace, program, done)  `done` once: admitted, or why not
+//   Refund(workspace, token)           the request was not sent to a server
+//   Charge(workspace)                  a request is sent again, may run twice
 #pragma once
 
 #include <deque>
@@ -22,7 +21,7 @@
 
 #include "yuccawick/gateway/metrics.h"
 #include "yuccawick/gateway/peer_network.h"
-#include "yuccawick/gateway/rate_desk.h"
+#include "yuccawick/gateway/rate_coordinator.h"
 #include "yuccawick/workspaces/workspace.h"
 
 namespace yuccawick::gateway {
@@ -34,9 +33,9 @@
 };
 
 struct RateLimitResult {
-  RateLimitOutcome                 outcome = RateLimitOutcome::kUnsure;
+  RateLimitOutcome             outcome = RateLimitOutcome::kUnsure;
   Duration                     retry_delay = 0;  // ms until there may be room
-  workspaces::TokenPool::Batch token;      // none: no limit
+  workspaces::TokenPool::Batch token;            // none: no limit
 };
 
 // What a request says of the program that it belongs to.
@@ -54,17 +53,18 @@
       std::function<std::vector<programs::NodeInfo>(const std::string& key)>;
 
   RateLimiter(net::EventLoop* loop, const Thresholds* thresholds,
-          const programs::NodeInfo& self, PeerNetwork* network,
-          std::vector<RateCoordinator>* desks, CoordinatorLookup homes_for);
+              const programs::NodeInfo& self, PeerNetwork* network,
+              std::vector<RateCoordinator>* desks, CoordinatorLookup homes_for);
 
   void Acquire(const workspaces::Workspace& workspace, const ProgramStep& step,
-             Done done);
+               Done done);
   void Refund(const std::string&                  workspace,
-               const workspaces::TokenPool::Batch& token);
+              const workspaces::TokenPool::Batch& token);
   void Charge(const std::string& workspace);
 
   // A question of another node.
-  void ServeRequest(PeerMessage::Reader message, const PeerNetwork::Reply& reply);
+  void ServeRequest(PeerMessage::Reader       message,
+                    const PeerNetwork::Reply& reply);
   // Opens the desks that this node is home of; call about twice a second.
   // `limits`: the manifest has any.
   void Sweep(bool limits);
@@ -90,14 +90,18 @@
     Time         used = 0;
   };
 
-  bool TakeToken(Local* local, const Waiter& waiter, RateLimitResult* admission);
-  workspaces::RateRequest NextAsk(const std::string& workspace, Local* local) const;
+  bool                    TakeToken(Local* local, const Waiter& waiter,
+                                    RateLimitResult* admission);
+  workspaces::RateRequest NextAsk(const std::string& workspace,
+                                  Local*             local) const;
   // Asks if a request waits, or if tokens are plenty and nearly gone here.
-  void                Ask(const std::string& workspace);
-  void AskRank(const workspaces::RateRequest& ask, std::size_t rank, Time asked);
-  void AskNode(const programs::NodeInfo& home, const workspaces::RateRequest& ask,
-               const RateCoordinator::Done& done);
-  void TakeAnswer(const workspaces::RateRequest&    ask,
+  void                    Ask(const std::string& workspace);
+  void AskRank(const workspaces::RateRequest& ask, std::size_t rank,
+               Time asked);
+  void AskNode(const programs::NodeInfo&      home,
+               const workspaces::RateRequest& ask,
+               const RateCoordinator::Done&   done);
+  void TakeAnswer(const workspaces::RateRequest&  ask,
                   const workspaces::RateResponse& answer, Time asked);
   void AskLater(const std::string& workspace, Duration delay);
   // Answers whom it can from what is at hand.
@@ -111,8 +115,8 @@
   const Thresholds*                                 m_thresholds;
   programs::NodeInfo                                m_self;
   PeerNetwork*                                      m_network;
-  std::vector<RateCoordinator>*                            m_desks;  // by partition
-  CoordinatorLookup                                          m_homes_for;
+  std::vector<RateCoordinator>*                     m_desks;  // by partition
+  CoordinatorLookup                                 m_homes_for;
   std::unordered_map<std::string, Local>            m_locals;  // by workspace
   // Programs under way, when they were last seen here.
   std::unordered_map<workspaces::ProgramHash, Time> m_programs;
--- a/src/yuccawick/gateway/thresholds.cc
+++ b/src/yuccawick/gateway/thresholds.cc
@@ -10,13 +10,15 @@
 using Field = std::variant<
     Duration Thresholds::*, double Thresholds::*,
     double traffic::PlacementWeights::*, double traffic::Sampling::*,
-    double   traffic::ConcurrencyLimitSettings::*,
-    Duration traffic::ConcurrencyLimitSettings::*, std::int64_t traffic::Sampling::*,
-    double   admission::AdmissionSettings::*,
+    double       traffic::ConcurrencyLimitSettings::*,
+    Duration     traffic::ConcurrencyLimitSettings::*,
+    std::int64_t traffic::Sampling::*, double admission::AdmissionSettings::*,
     Duration admission::AdmissionSettings::*,
     double   fairness::FairShareSettings::*,
-    Duration fairness::FairShareSettings::*, double capacity::SlowdownSettings::*,
-    Duration capacity::SlowdownSettings::*, double pressure::MemoryBudgetSettings::*,
+    Duration fairness::FairShareSettings::*,
+    double   capacity::SlowdownSettings::*,
+    Duration capacity::SlowdownSettings::*,
+    double   pressure::MemoryBudgetSettings::*,
     Duration pressure::MemoryBudgetSettings::*>;
 
 struct Entry {
--- a/src/yuccawick/gateway/thresholds.h
+++ b/src/yuccawick/gateway/thresholds.h
@@ -15,14 +15,14 @@
 #include <variant>
 #include <vector>
 
-#include "yuccawick/admission/program_room.h"
-#include "yuccawick/capacity/server_pace.h"
-#include "yuccawick/fairness/fair_begin.h"
+#include "yuccawick/admission/admission_controller.h"
+#include "yuccawick/capacity/server_slowdown.h"
+#include "yuccawick/fairness/fair_share_policy.h"
 #include "yuccawick/net/event_loop.h"
 #include "yuccawick/pressure/memory_budget.h"
-#include "yuccawick/traffic/outage_wait.h"
+#include "yuccawick/traffic/concurrency_limit.h"
+#include "yuccawick/traffic/outage_retry.h"
 #include "yuccawick/traffic/placement.h"
-#include "yuccawick/traffic/turn_limit.h"
 
 namespace yuccawick::gateway {
 
@@ -46,17 +46,17 @@
   Duration     load_memory = 700;  // what peers said of loads; older is noise
   // Load per slot at which a near or a warm server is no better any more, and
   // the load that a failure counts as: any healthy server goes first.
-  traffic::PlacementWeights    placement;
-  traffic::Sampling            sampling;
+  traffic::PlacementWeights         placement;
+  traffic::Sampling                 sampling;
   // How fast the picture of a server's speed follows what is observed, and
   // from which lasting pace on it is called slow.
-  capacity::SlowdownSettings       slowdown;
+  capacity::SlowdownSettings        slowdown;
   // How slow first events of model servers show that turns wait there.
-  traffic::ConcurrencyLimitSettings   concurrency_limit;
+  traffic::ConcurrencyLimitSettings concurrency_limit;
   // Which programs may begin while model servers are full.
-  admission::AdmissionSettings admission;
+  admission::AdmissionSettings      admission;
   // What programs leave free to others when they begin.
-  fairness::FairShareSettings  fairness;
+  fairness::FairShareSettings       fairness;
 
   // Requests -----------------------------------------------------------------
   // Given up this long before the client stops listening, so that the answer
@@ -76,7 +76,7 @@
   // Memory held for others ---------------------------------------------------
   // How long a client may take nothing of a whole answer that waits for it;
   // before the end its route's time bounds it.
-  Duration                 reader_patience = 5000;
+  Duration                       reader_patience = 5000;
   pressure::MemoryBudgetSettings memory;
 
   // The platform's log -------------------------------------------------------
--- a/src/yuccawick/gateway/token_desk.cc
+++ b/src/yuccawick/gateway/token_coordinator.cc
@@ -1,4 +1,4 @@
-#include "yuccawick/gateway/token_desk.h"
+#include "yuccawick/gateway/token_coordinator.h"
 
 #include <xxhash.h>
 
@@ -38,9 +38,11 @@
   return kNames[static_cast<std::size_t>(outcome)];
 }
 
-TokenCoordinator::TokenCoordinator(net::EventLoop* loop, const Thresholds* thresholds,
-                     platform::RecordLog* store, Log* log,
-                     std::string incarnation, int partition, AdmissionService* room)
+TokenCoordinator::TokenCoordinator(net::EventLoop*      loop,
+                                   const Thresholds*    thresholds,
+                                   platform::RecordLog* store, Log* log,
+                                   std::string incarnation, int partition,
+                                   AdmissionService* room)
     : m_loop(loop),
       m_thresholds(thresholds),
       m_store(store),
@@ -118,8 +120,8 @@
   }
 }
 
-std::optional<ReserveOutcome> TokenCoordinator::Decide(Account*       account,
-                                                const Waiting& request) const {
+std::optional<ReserveOutcome> TokenCoordinator::Decide(
+    Account* account, const Waiting& request) const {
   const programs::Tokens most = request.turn.max_tokens;
   if (account->tokens.Reserve(most) == TokenAnswer::kStart) {
     return ReserveOutcome::kStart;
@@ -139,7 +141,8 @@
 
 // A home that waits for the log must not look dead to its asker. The request is
 // forgotten: a claim that comes through for it is given back.
-void TokenCoordinator::GiveUp(const std::string& program, std::uint64_t number) {
+void TokenCoordinator::GiveUp(const std::string& program,
+                              std::uint64_t      number) {
   const auto account = m_accounts.find(program);
   if (account == m_accounts.end()) return;
   auto&      waiting = account->second.waiting;
@@ -162,7 +165,7 @@
 }
 
 void TokenCoordinator::EndTurn(const TurnBudget& turn, programs::Tokens used,
-                        const std::string& server) {
+                               const std::string& server) {
   if (m_room != nullptr) m_room->OnTurnEnded(turn.admission_request, used);
   const auto found = m_accounts.find(turn.program);
   if (found == m_accounts.end()) return;
@@ -213,7 +216,7 @@
 }
 
 void TokenCoordinator::SendClaim(const std::string& program, Account* account,
-                          programs::Tokens most, programs::Tokens wish) {
+                                 programs::Tokens most, programs::Tokens wish) {
   programs::TokenClaim claim = account->tokens.NextClaim(most);
   claim.wish = std::max(claim.need, wish);
   claim.program = program;
@@ -244,7 +247,8 @@
 // made every claim wait for the next reading once a reading had begun: while
 // the log's reads were busy, for 350 ms in place of 12, as long as they stayed
 // so.
-void TokenCoordinator::RecordAppended(const std::string& record, std::int64_t offset) {
+void TokenCoordinator::RecordAppended(const std::string& record,
+                                      std::int64_t       offset) {
   if (offset < m_next) return;  // a reading was faster
   m_appended.emplace(offset, record);
   if (m_caught_up) TakeAppended();
@@ -264,7 +268,8 @@
   }
 }
 
-void TokenCoordinator::ClaimDecided(std::uint64_t number, programs::Tokens granted) {
+void TokenCoordinator::ClaimDecided(std::uint64_t    number,
+                                    programs::Tokens granted) {
   const auto claim = m_claims.extract(number);
   if (claim.empty()) return;
   const auto& [program, need] = claim.mapped();
--- a/src/yuccawick/gateway/token_desk.h
+++ b/src/yuccawick/gateway/token_coordinator.h
@@ -25,11 +25,11 @@
 #include <unordered_map>
 #include <vector>
 
+#include "yuccawick/gateway/admission_service.h"
 #include "yuccawick/gateway/appender.h"
 #include "yuccawick/gateway/log_health.h"
-#include "yuccawick/gateway/room_desk.h"
 #include "yuccawick/gateway/thresholds.h"
-#include "yuccawick/programs/read_pace.h"
+#include "yuccawick/programs/adaptive_read_size.h"
 #include "yuccawick/programs/token_ledger.h"
 
 namespace yuccawick::gateway {
@@ -54,10 +54,11 @@
 std::string_view Name(ReserveOutcome outcome);
 
 struct TurnBudget {
-  std::string        program;
-  programs::Tokens   budget = 0;  // of the program
-  programs::Tokens   max_tokens = 0;    // that the turn may generate
-  admission::AdmissionRequest admission_request = {};   // that it wants at model servers
+  std::string                 program;
+  programs::Tokens            budget = 0;      // of the program
+  programs::Tokens            max_tokens = 0;  // that the turn may generate
+  admission::AdmissionRequest admission_request =
+      {};  // that it wants at model servers
 };
 
 class TokenCoordinator {
@@ -67,8 +68,9 @@
   // One desk counts the programs whose claims lie in one partition. `room`:
   // decides which of them may begin; nullptr: all.
   TokenCoordinator(net::EventLoop* loop, const Thresholds* thresholds,
-            platform::RecordLog* store, Log* log, std::string incarnation,
-            int partition, AdmissionService* room = nullptr);
+                   platform::RecordLog* store, Log* log,
+                   std::string incarnation, int partition,
+                   AdmissionService* room = nullptr);
 
   // `done` is called once, within `home_answer` ms.
   void        Reserve(const TurnBudget& turn, Done done);
@@ -151,8 +153,8 @@
   int                                          m_partition;
   programs::TokenLedger                        m_ledger;
   Appender                                     m_appender;
-  AdmissionService*                                    m_room;
-  programs::AdaptiveReadSize                           m_pace{platform::kPageBytes};
+  AdmissionService*                            m_room;
+  programs::AdaptiveReadSize                   m_pace{platform::kPageBytes};
   std::unordered_map<std::string, Account>     m_accounts;  // by program
   std::unordered_map<std::uint64_t, OpenClaim> m_claims;    // by number
   std::unordered_map<std::string, Time> m_spare;  // programs that may have some
--- a/src/yuccawick/gateway/turn_gate.cc
+++ b/src/yuccawick/gateway/turn_dispatcher.cc
@@ -1,15 +1,16 @@
-#include "yuccawick/gateway/turn_gate.h"
+#include "yuccawick/gateway/turn_dispatcher.h"
 
 namespace yuccawick::gateway {
 
 TurnDispatcher::Service* TurnDispatcher::ServiceOf(const std::string& name) {
-  const auto entry =
-      m_services.try_emplace(name, Service{traffic::ConcurrencyLimit(m_settings), {}});
+  const auto entry = m_services.try_emplace(
+      name, Service{traffic::ConcurrencyLimit(m_settings), {}});
   return &entry.first->second;
 }
 
-TurnDispatcher::Id TurnDispatcher::Enqueue(const std::string& service, double place,
-                             Duration objective, Go go) {
+TurnDispatcher::Id TurnDispatcher::Enqueue(const std::string& service,
+                                           double place, Duration objective,
+                                           Go go) {
   const Id id = ++m_last;
   Service* of = ServiceOf(service);
   m_turns.emplace(id, Turn{of, {place, id}, objective, 0});
--- a/src/yuccawick/gateway/turn_reader.h
+++ b/src/yuccawick/gateway/turn_reader.h
@@ -25,7 +25,7 @@
 #include "platform/store.h"
 #include "yuccawick/gateway/log_health.h"
 #include "yuccawick/gateway/thresholds.h"
-#include "yuccawick/programs/read_pace.h"
+#include "yuccawick/programs/adaptive_read_size.h"
 #include "yuccawick/programs/record.h"
 #include "yuccawick/programs/scan_plan.h"
 #include "yuccawick/programs/turn_history.h"
@@ -122,15 +122,15 @@
   void FetchPart(const std::string& id, const Place& place, std::size_t part,
                  const std::function<void()>& done);
 
-  net::EventLoop*        m_loop;
-  const Thresholds*      m_thresholds;
-  platform::RecordLog*   m_store;
-  Log*                   m_log;
-  programs::TurnHistory* m_history;
-  programs::AdaptiveReadSize     m_pace{platform::kPageBytes};     // of all scans
-  std::vector<ScanState> m_scans;                          // by partition
-  std::unordered_map<std::string, Place>        m_places;  // by turn
-  std::map<std::pair<int, std::string>, Pieces> m_pieces;  // partition, turn
+  net::EventLoop*            m_loop;
+  const Thresholds*          m_thresholds;
+  platform::RecordLog*       m_store;
+  Log*                       m_log;
+  programs::TurnHistory*     m_history;
+  programs::AdaptiveReadSize m_pace{platform::kPageBytes};  // of all scans
+  std::vector<ScanState>     m_scans;                       // by partition
+  std::unordered_map<std::string, Place>        m_places;   // by turn
+  std::map<std::pair<int, std::string>, Pieces> m_pieces;   // partition, turn
   Duration m_retention = 60'000;  // until a manifest says
 };
 
--- a/src/yuccawick/gateway/turn_keeper.cc
+++ b/src/yuccawick/gateway/turn_store.cc
@@ -1,4 +1,4 @@
-#include "yuccawick/gateway/turn_keeper.h"
+#include "yuccawick/gateway/turn_store.h"
 
 #include <xxhash.h>
 
@@ -22,8 +22,8 @@
 }  // namespace
 
 TurnStore::TurnStore(net::EventLoop* loop, const Thresholds* thresholds,
-                       platform::RecordLog* store, Log* log, Metrics* metrics,
-                       const std::string& incarnation)
+                     platform::RecordLog* store, Log* log, Metrics* metrics,
+                     const std::string& incarnation)
     : m_loop(loop),
       m_thresholds(thresholds),
       m_log(log),
@@ -43,7 +43,7 @@
 // Finding --------------------------------------------------------------------
 
 void TurnStore::Find(const std::string& id, const std::string& program,
-                      FindDone done) {
+                     FindDone done) {
   // A turn usually continues one of its own program, whose partition is known.
   Search({id, PartitionOf(program), std::move(done)});
 }
@@ -69,7 +69,7 @@
 }
 
 void TurnStore::SearchOwnPartition(const Question&    question,
-                                    const std::string& missing) {
+                                   const std::string& missing) {
   const auto looked = [this, question, missing](bool complete) {
     if (m_history.Missing(question.id) == missing) {
       SearchOthers(question, missing, complete);
@@ -81,7 +81,7 @@
 }
 
 void TurnStore::SearchOthers(const Question&    question,
-                              const std::string& missing, bool first_complete) {
+                             const std::string& missing, bool first_complete) {
   auto       open = std::make_shared<int>(kTurnPartitions - 1);
   auto       complete = std::make_shared<bool>(first_complete);
   const auto end = [this, question, missing, complete] {
@@ -105,7 +105,7 @@
 // Only the log can rule a turn out, and only the one that was asked for: an
 // ancestor that the log does not have any more says nothing about it.
 void TurnStore::EndSearch(const Question& question, const std::string& missing,
-                           bool complete) {
+                          bool complete) {
   m_log->Write(LogEvent::kScan, {{"asked_for", question.id},
                                  {"missing", missing},
                                  {"complete", complete ? "yes" : "no"}});
@@ -116,8 +116,7 @@
   }
 }
 
-void TurnStore::AskPeers(const Question&    question,
-                          const std::string& missing) {
+void TurnStore::AskPeers(const Question& question, const std::string& missing) {
   m_peers->AskForTurn(missing,
                       [this, question, missing](const TurnPeers::Turns& turns) {
                         TakeTurns(turns);
@@ -198,10 +197,11 @@
 }
 
 void TurnStore::Append(const programs::Turn& turn, int partition,
-                        const Appender::Wanted& wanted, PlacedDone done) {
+                       const Appender::Wanted& wanted, PlacedDone done) {
   const auto records = programs::EncodeTurn(turn);
   auto       left = std::make_shared<std::size_t>(records.size());
-  auto kept = std::make_shared<std::optional<LogPosition>>(LogPosition{partition});
+  auto       kept =
+      std::make_shared<std::optional<LogPosition>>(LogPosition{partition});
   const auto appended =
       [left, kept, done = std::move(done)](const Appender::Result& result) {
         if (!result) {
@@ -245,7 +245,7 @@
 }
 
 void TurnStore::Persist(const programs::Turn& turn, Duration retention,
-                      Time until, PersistDone done) {
+                        Time until, PersistDone done) {
   const int  place = PlaceFrom(PartitionOf(turn.program));
   const Time now = m_loop->now();
   const auto keeping = std::make_shared<Keeping>(
@@ -268,7 +268,8 @@
     m_loop->After(pause, [this, keeping] { TryElsewhere(keeping); });
   };
   const int  next = PlaceFrom((keeping->partition + 1) % kTurnPartitions);
-  const bool another = !m_reader.IsUnavailable(next) && !keeping->tried.contains(next);
+  const bool another =
+      !m_reader.IsUnavailable(next) && !keeping->tried.contains(next);
   if (another) {
     keeping->partition = next;
     Send(keeping);
@@ -288,7 +289,7 @@
 }
 
 void TurnStore::PersistForPeer(const programs::Turn& turn, Duration retention,
-                         TurnPeers::AppendDone done) {
+                               TurnPeers::AppendDone done) {
   auto       waiting = std::make_shared<TurnPeers::AppendDone>(std::move(done));
   const auto answer = [waiting](std::optional<LogPosition> kept) {
     if (const auto told = std::exchange(*waiting, nullptr)) told(kept);
--- a/src/yuccawick/gateway/turn_keeper.h
+++ b/src/yuccawick/gateway/turn_store.h
@@ -10,8 +10,8 @@
 //         did not find it. If the log does not answer, the memories of other
 //         nodes are asked: what they hold may be used, what they do not hold
 //         proves nothing.
-//   Keep  a finished turn is appended to the log before the client sees the end
-//         of its answer, to its program's partition or, if that is away, to
+//   Persist  a finished turn is appended to the log before the client sees the
+//         end of its answer, to its program's partition or, if that is away, to
 //         another: whoever misses a turn searches all. If the log is away for
 //         this node, a node that reaches it appends the turn for it. If it is
 //         away for all, the end waits: all nodes may lose power at any moment,
@@ -74,10 +74,10 @@
     Turns turns;
   };
   virtual ReaderLocation AskReader(int partition, const std::string& id,
-                             std::size_t                        rank,
-                             std::function<void(const Lookup&)> done) = 0;
+                                   std::size_t                        rank,
+                                   std::function<void(const Lookup&)> done) = 0;
   // A node that the log seems to answer, as far as is known here.
-  virtual bool     AnyReachesLog() const = 0;
+  virtual bool           AnyReachesLog() const = 0;
   // Has such nodes append the turn, others at each attempt, from 0 on; nothing
   // if there is no such node or none could.
   using AppendDone = std::function<void(std::optional<LogPosition>)>;
@@ -89,8 +89,8 @@
  public:
   // `incarnation` names this start of the node among all that append turns.
   TurnStore(net::EventLoop* loop, const Thresholds* thresholds,
-             platform::RecordLog* store, Log* log, Metrics* metrics,
-             const std::string& incarnation);
+            platform::RecordLog* store, Log* log, Metrics* metrics,
+            const std::string& incarnation);
   void SetPeers(TurnPeers* peers) { m_peers = peers; }
 
   // Makes sure that the chain of the turn is in history().
@@ -101,10 +101,10 @@
   // `done` once the log has acknowledged the turn; never, if it does not by
   // `until`. Nobody is told of such a turn's end, so it need not be kept then.
   void Persist(const programs::Turn& turn, Duration retention, Time until,
-            PersistDone done);
+               PersistDone done);
   // Appends a peer's turn; nothing if the log does not acknowledge it soon.
   void PersistForPeer(const programs::Turn& turn, Duration retention,
-               TurnPeers::AppendDone done);
+                      TurnPeers::AppendDone done);
   // Whether a turn that ends now could be kept: a partition answers this node,
   // or some other node.
   bool CanPersist() const;
@@ -131,7 +131,7 @@
     std::set<int>  tried;          // partitions it was sent to
     std::size_t    relays = 0;     // attempts through other nodes
     bool           open = true;
-    PersistDone       done;
+    PersistDone    done;
   };
   using KeepingPtr = std::shared_ptr<Keeping>;
 
--- a/src/yuccawick/pressure/memory_budget.cc
+++ b/src/yuccawick/pressure/memory_budget.cc
@@ -10,7 +10,8 @@
 constexpr double kLeastBound = 4 * kBytesPerMb;
 constexpr auto   kNoBound = std::numeric_limits<std::size_t>::max();
 
-std::size_t BoundOf(const MemoryBudgetSettings& settings, std::size_t limit_bytes) {
+std::size_t BoundOf(const MemoryBudgetSettings& settings,
+                    std::size_t                 limit_bytes) {
   if (limit_bytes == 0) return kNoBound;
   const double rest = (1.0 - settings.spare) * static_cast<double>(limit_bytes);
   return static_cast<std::size_t>(
@@ -31,10 +32,11 @@
 }
 
 MemoryBudget::MemoryBudget(const MemoryBudgetSettings& settings,
-                           std::size_t           limit_bytes)
+                           std::size_t                 limit_bytes)
     : m_settings(settings), m_bound(BoundOf(settings, limit_bytes)) {}
 
-bool MemoryBudget::CanAcceptBody(std::size_t body_bytes, std::size_t held) const {
+bool MemoryBudget::CanAcceptBody(std::size_t body_bytes,
+                                 std::size_t held) const {
   if (!bounded()) return true;
   // A request that is being read is finished on a node that turns full
   // meanwhile, as long as it fits.
@@ -44,7 +46,8 @@
 
 bool MemoryBudget::bounded() const { return m_bound != kNoBound; }
 
-std::optional<std::size_t> MemoryBudget::TurnBytesTarget(std::size_t kept) const {
+std::optional<std::size_t> MemoryBudget::TurnBytesTarget(
+    std::size_t kept) const {
   constexpr double kLeft = 0.9;
   if (!bounded()) return std::nullopt;
   const double most = m_settings.turns * static_cast<double>(m_bound);
@@ -66,7 +69,8 @@
 
 bool MemoryBudget::Update(Time now) {
   const PressureLevel next = LevelNow();
-  if (next >= m_level) m_risen_at = next == PressureLevel::kCalm ? m_risen_at : now;
+  if (next >= m_level)
+    m_risen_at = next == PressureLevel::kCalm ? m_risen_at : now;
   const bool held_back = next < m_level && now - m_risen_at < m_settings.hold;
   if (next == m_level || held_back) return false;
   m_level = next;
@@ -86,11 +90,12 @@
 }
 
 std::size_t ChooseClientToDrop(const std::vector<ClientBuffer>& readers,
-                         Duration                   patience) {
+                               Duration                         patience) {
   std::size_t drop = kNoClient;
   for (std::size_t i = 0; i < readers.size(); ++i) {
     if (readers[i].waiting == 0 || readers[i].stalled < patience) continue;
-    if (drop == kNoClient || readers[i].waiting > readers[drop].waiting) drop = i;
+    if (drop == kNoClient || readers[i].waiting > readers[drop].waiting)
+      drop = i;
   }
   return drop;
 }
--- a/src/yuccawick/pressure/memory_budget.h
+++ b/src/yuccawick/pressure/memory_budget.h
@@ -1,8 +1,8 @@
 // How much memory a node holds for others, and what it still takes on.
 //
-// Whoever holds bytes for a client, a server or a program keeps a MemoryCharge of
-// its kind and says how many; its destructor gives them back, whichever way the
-// request ends. Ask MayTake() before a body is read.
+// Whoever holds bytes for a client, a server or a program keeps a MemoryCharge
+// of its kind and says how many; its destructor gives them back, whichever way
+// the request ends. Ask CanAcceptBody() before a body is read.
 //
 //   calm  everything is taken that fits
 //   near  the node wants no new clients; requests that it has got are served
@@ -75,15 +75,15 @@
 
   // Whether a body of this size, which grows a holding that counts `held` of it
   // already, may be read.
-  bool        CanAcceptBody(std::size_t body_bytes, std::size_t held = 0) const;
+  bool CanAcceptBody(std::size_t body_bytes, std::size_t held = 0) const;
   // At this moment; the level may be higher for a while.
-  bool        IsFull() const { return bounded() && Above(m_settings.full); }
+  bool IsFull() const { return bounded() && Above(m_settings.full); }
   // True if the level has changed. Call often, and after each large change.
-  bool        Update(Time now);
-  PressureLevel       level() const { return m_level; }
-  bool        bounded() const;
-  std::size_t bound() const { return m_bound; }
-  std::size_t total() const { return m_total; }
+  bool Update(Time now);
+  PressureLevel              level() const { return m_level; }
+  bool                       bounded() const;
+  std::size_t                bound() const { return m_bound; }
+  std::size_t                total() const { return m_total; }
   // How many bytes of turns are to be left if more are kept in memory; a tenth
   // below the most, so that it does not come up again at once.
   std::optional<std::size_t> TurnBytesTarget(std::size_t kept) const;
@@ -93,16 +93,16 @@
 
  private:
   friend class MemoryCharge;
-  void  Change(MemoryKind kind, std::size_t from, std::size_t to);
+  void          Change(MemoryKind kind, std::size_t from, std::size_t to);
   PressureLevel LevelNow() const;
-  bool  Above(double share) const;
+  bool          Above(double share) const;
 
   MemoryBudgetSettings                      m_settings;
-  std::size_t                         m_bound;
-  std::size_t                         m_total = 0;
+  std::size_t                               m_bound;
+  std::size_t                               m_total = 0;
   std::array<std::size_t, kMemoryKindCount> m_held{};
-  PressureLevel                               m_level = PressureLevel::kCalm;
-  Time                                m_risen_at = 0;  // to this level or above
+  PressureLevel                             m_level = PressureLevel::kCalm;
+  Time m_risen_at = 0;  // to this level or above
 };
 
 // What is held may outlive the node's other parts, in tasks of its loop.
@@ -122,7 +122,7 @@
 
  private:
   MemoryBudgetPtr m_budget;
-  MemoryKind            m_kind;
+  MemoryKind      m_kind;
   std::size_t     m_bytes = 0;
 };
 
@@ -132,9 +132,11 @@
   Duration    stalled = 0;  // ms since it took any
 };
 
-inline constexpr std::size_t kNoClient = std::numeric_limits<std::size_t>::max();
+inline constexpr std::size_t kNoClient =
+    std::numeric_limits<std::size_t>::max();
 // Whom a full node lets go: of those that took nothing for `patience`, the one
-// for which most waits; an index into `readers`, or kNobody.
-std::size_t ChooseClientToDrop(const std::vector<ClientBuffer>& readers, Duration patience);
+// for which most waits; an index into `readers`, or kNoClient.
+std::size_t ChooseClientToDrop(const std::vector<ClientBuffer>& readers,
+                               Duration                         patience);
 
 }  // namespace yuccawick::pressure
--- a/src/yuccawick/programs/record.capnp
+++ b/src/yuccawick/programs/record.capnp
@@ -55,7 +55,7 @@
   program @0 :Text;
   budget  @1 :Int64;
   most    @2 :Int64;  # that the turn may generate
-  # What the program asks of model servers; see admission/program_room.h.
+  # What the program asks of model servers; see admission/admission_controller.h.
   service      @3 :Text;   # empty: the asker wants no room
   workspace    @4 :Text;   # empty: none
   priority     @5 :UInt8;  # 0 is first
--- a/src/yuccawick/programs/turn_history.cc
+++ b/src/yuccawick/programs/turn_history.cc
@@ -25,7 +25,8 @@
   kept.turn = std::move(turn);
 }
 
-std::vector<const Turn*> TurnHistory::CollectChain(const std::string& id) const {
+std::vector<const Turn*> TurnHistory::CollectChain(
+    const std::string& id) const {
   std::vector<const Turn*> line;
   std::set<std::string>    seen;
   std::string              next = id;
@@ -44,8 +45,9 @@
   return line.empty() ? id : line.back()->previous;
 }
 
-PromptBuildResult TurnHistory::Build(const std::string& previous, const std::string& input,
-                         Time now, Duration retention) {
+PromptBuildResult TurnHistory::Build(const std::string& previous,
+                                     const std::string& input, Time now,
+                                     Duration retention) {
   PromptBuildResult chain;
   chain.missing = Missing(previous);
   if (!chain.missing.empty()) return chain;
--- a/src/yuccawick/programs/turn_history.h
+++ b/src/yuccawick/programs/turn_history.h
@@ -41,11 +41,11 @@
   // The turn and all its ancestors are at hand.
   bool HoldsChain(const std::string& id) const { return Missing(id).empty(); }
   // The nearest turn of the chain that is not at hand; empty: it is whole.
-  std::string Missing(const std::string& id) const;
+  std::string       Missing(const std::string& id) const;
   // A chain that is used is kept on from now, all of it: a turn is worth
   // nothing without its ancestors.
-  PromptBuildResult Build(const std::string& previous, const std::string& input, Time now,
-              Duration retention);
+  PromptBuildResult Build(const std::string& previous, const std::string& input,
+                          Time now, Duration retention);
   // The turn and its ancestors as far as they are at hand, newest first.
   std::vector<const Turn*> CollectChain(const std::string& id) const;
   void                     Expire(Time now);
--- a/src/yuccawick/traffic/affinity.cc
+++ b/src/yuccawick/traffic/affinity.cc
@@ -5,8 +5,8 @@
 namespace yuccawick::traffic {
 
 std::string PreferredServer(const std::string&            program,
-                       const std::vector<Candidate>& candidates,
-                       AffinityScope                     reach) {
+                            const std::vector<Candidate>& candidates,
+                            AffinityScope                 reach) {
   const XXH64_hash_t   seed = XXH3_64bits(program.data(), program.size());
   const BackendServer* home = nullptr;
   XXH64_hash_t         highest = 0;
@@ -22,7 +22,7 @@
 }
 
 AffinityScope ChooseAffinityScope(std::int64_t tokens, double memory_part,
-                   const PlacementWeights& weights) {
+                                  const PlacementWeights& weights) {
   // A prompt grows with its line, and a line whose reach changed is read again:
   // so it must be worth its way clearly.
   constexpr double kClearly = 1.5;
--- a/src/yuccawick/traffic/attempt.cc
+++ b/src/yuccawick/traffic/attempt.cc
@@ -60,8 +60,8 @@
   if (loss.other_server && more_servers) return NextStep::kOtherServer;
   // The same server again costs no further server. One that is full stays full
   // for longer than a repeat takes.
-  const bool same_helps =
-      loss.cause == SendFailureCause::kBroken || loss.cause == SendFailureCause::kBadAnswer;
+  const bool same_helps = loss.cause == SendFailureCause::kBroken ||
+                          loss.cause == SendFailureCause::kBadAnswer;
   return same_helps ? NextStep::kSameServer : give_up;
 }
 
--- a/src/yuccawick/traffic/attempt.h
+++ b/src/yuccawick/traffic/attempt.h
@@ -1,7 +1,7 @@
 // What follows when sending a request to a backend server comes to nothing.
 //
-// The phases of an attempt stand in charts/attempt.chart. DecideNextStep() is the
-// one place that decides whether a request may be sent again and what the
+// The phases of an attempt stand in charts/attempt.chart. DecideNextStep() is
+// the one place that decides whether a request may be sent again and what the
 // caller is told, from what is certain about the server:
 //
 //   not connected       the server saw nothing of it
@@ -51,12 +51,12 @@
 
 struct SendFailure {
   SendFailureCause cause = SendFailureCause::kBroken;
-  int       servers_sent = 0;      // distinct servers that were sent it
-  int       repeats = 0;           // sends after the first
-  bool      in_doubt = false;      // some send of it may have run
-  bool      answering = false;     // part of the answer went to the client
-  bool      other_server = false;  // one is left that was not tried
-  Duration  left = 0;              // ms until the attempt is given up
+  int              servers_sent = 0;   // distinct servers that were sent it
+  int              repeats = 0;        // sends after the first
+  bool             in_doubt = false;   // some send of it may have run
+  bool             answering = false;  // part of the answer went to the client
+  bool             other_server = false;  // one is left that was not tried
+  Duration         left = 0;              // ms until the attempt is given up
 };
 
 enum class NextStep : std::uint8_t {
--- a/src/yuccawick/traffic/turn_limit.cc
+++ b/src/yuccawick/traffic/concurrency_limit.cc
@@ -1,4 +1,4 @@
-#include "yuccawick/traffic/turn_limit.h"
+#include "yuccawick/traffic/concurrency_limit.h"
 
 #include <xxhash.h>
 
@@ -54,8 +54,9 @@
     m_limit = under_way;
   }
   if (!m_bounded) return;
-  const double share = std::clamp(
-      m_settings.target / std::max(*median, kLeastShare), kMostShrink, kMostGrow);
+  const double share =
+      std::clamp(m_settings.target / std::max(*median, kLeastShare),
+                 kMostShrink, kMostGrow);
   m_limit = std::max(m_settings.least, m_limit * share + kGrowth);
   // Well above what is there: it bounds nothing any more.
   m_bounded = m_limit <= kUnbounded * (under_way + 1);
@@ -67,7 +68,7 @@
 }
 
 double QueueRank(std::string_view program, int priority,
-               std::optional<Duration> left) {
+                 std::optional<Duration> left) {
   const auto   hash = XXH3_64bits(program.data(), program.size());
   const double place = std::ldexp(static_cast<double>(hash), -64);
   const double late = left && *left <= 0 ? kPastItsTime : 0.0;
--- a/src/yuccawick/traffic/turn_limit.h
+++ b/src/yuccawick/traffic/concurrency_limit.h
@@ -8,16 +8,16 @@
 // and nearly all programs miss their time, also those that came before the
 // burst. Turns therefore wait here, where the order can still be chosen.
 //
-// ConcurrencyLimit finds by itself how many may be under way. The operator says within
-// what time a first event is to come. Once most take longer, turns wait at
-// servers for too long, and fewer are sent until they come well within it. No
-// node needs to know what others send: all see the same servers grow slow.
+// ConcurrencyLimit finds by itself how many may be under way. The operator says
+// within what time a first event is to come. Once most take longer, turns wait
+// at servers for too long, and fewer are sent until they come well within it.
+// No node needs to know what others send: all see the same servers grow slow.
 // While first events are in time nothing is held: all programs have time enough
 // to share the wait.
 //
-// QueueRank() orders those that wait. Each program has a place of its own, by its
-// id, the same at every node and for all its turns: what the servers carry goes
-// to the programs in front, which end in time, and not a little to each.
+// QueueRank() orders those that wait. Each program has a place of its own, by
+// its id, the same at every node and for all its turns: what the servers carry
+// goes to the programs in front, which end in time, and not a little to each.
 // Programs past their time come last; they go on when the burst is over.
 #pragma once
 
@@ -68,16 +68,16 @@
   void                  Adapt(int under_way, Time now);
   std::optional<double> Median() const;
 
-  ConcurrencyLimitSettings  m_settings;
-  std::deque<Sample> m_samples;
-  double             m_limit = 0;
-  bool               m_bounded = false;
-  Time               m_adapt_at = 0;
+  ConcurrencyLimitSettings m_settings;
+  std::deque<Sample>       m_samples;
+  double                   m_limit = 0;
+  bool                     m_bounded = false;
+  Time                     m_adapt_at = 0;
 };
 
 // Lower goes first. `priority`: 0 is first. `left`: until the program should be
 // finished, in ms; nothing: it does not say.
 double QueueRank(std::string_view program, int priority,
-               std::optional<Duration> left);
+                 std::optional<Duration> left);
 
 }  // namespace yuccawick::traffic
--- a/src/yuccawick/traffic/outage_wait.cc
+++ b/src/yuccawick/traffic/outage_retry.cc
@@ -1,4 +1,4 @@
-#include "yuccawick/traffic/outage_wait.h"
+#include "yuccawick/traffic/outage_retry.h"
 
 #include <algorithm>
 
--- a/src/yuccawick/traffic/outage_wait.h
+++ b/src/yuccawick/traffic/outage_retry.h
@@ -23,7 +23,8 @@
 inline constexpr double kMaxRetryDelayShare = 1.0 / 3.0;
 
 // `left`: of the client's time when its request came, in ms.
-net::Duration OutageHoldTime(const OutageSettings& settings, net::Duration left);
+net::Duration OutageHoldTime(const OutageSettings& settings,
+                             net::Duration         left);
 // `left`: of the client's time; `draw`: uniform in [0, 1), spreads returns.
 net::Duration OutageRetryDelay(net::Duration left, double draw);
 
--- a/src/yuccawick/traffic/placement.cc
+++ b/src/yuccawick/traffic/placement.cc
@@ -19,8 +19,10 @@
 
 double PaceCounted(double pace, const PlacementWeights& weights) {
   const double tolerance = weights.slowdown_tolerance;
-  if (pace > tolerance) return std::pow(pace / tolerance, weights.slowdown_exponent);
-  if (pace * tolerance < 1.0) return std::pow(pace * tolerance, weights.slowdown_exponent);
+  if (pace > tolerance)
+    return std::pow(pace / tolerance, weights.slowdown_exponent);
+  if (pace * tolerance < 1.0)
+    return std::pow(pace * tolerance, weights.slowdown_exponent);
   return 1.0;
 }
 
@@ -115,8 +117,8 @@
                     std::max(weights.cold_prefix, weights.cold_most));
 }
 
-void SampleCandidates(std::vector<Candidate>* candidates, const Sampling& sampling,
-               std::mt19937_64* random) {
+void SampleCandidates(std::vector<Candidate>* candidates,
+                      const Sampling& sampling, std::mt19937_64* random) {
   if (static_cast<std::int64_t>(candidates->size()) <= sampling.few) return;
   std::bernoulli_distribution stays(sampling.share);
   std::vector<Candidate>      some;
--- a/src/yuccawick/traffic/placement.h
+++ b/src/yuccawick/traffic/placement.h
@@ -18,9 +18,9 @@
 
 struct Candidate {
   const BackendServer* server = nullptr;
-  int                  local_load = 0;  // requests this node has under way there
-  int    peer_load = 0;             // the same of other nodes, as last heard
-  bool   same_zone = false;           // as this node
+  int    local_load = 0;        // requests this node has under way there
+  int    peer_load = 0;         // the same of other nodes, as last heard
+  bool   same_zone = false;     // as this node
   bool   holds_prefix = false;  // has the request's prompt cached, most likely
   int    recent_failures = 0;   // since its last success
   double failure_share = 0;     // of its latest answers, 0 to 1
@@ -28,7 +28,7 @@
   // Of the memory that the server has for each of its slots, what the prompt
   // takes; 0: not known.
   double       memory_part = 0;
-  double       slowdown = 1;  // time of the same work, in medians of the service
+  double slowdown = 1;  // time of the same work, in medians of the service
 
   int load() const { return local_load + peer_load; }
 };
@@ -79,8 +79,8 @@
 // than a turn at its start: if all looked at all servers, they would all find
 // the same one idle, and fill it before they hear of each other. The one that
 // holds the prefix stays.
-void SampleCandidates(std::vector<Candidate>* candidates, const Sampling& sampling,
-               std::mt19937_64* random);
+void SampleCandidates(std::vector<Candidate>* candidates,
+                      const Sampling& sampling, std::mt19937_64* random);
 
 enum class PlacementKind : std::uint8_t {
   kLeastLoaded,
--- a/src/yuccawick/traffic/request.h
+++ b/src/yuccawick/traffic/request.h
@@ -17,7 +17,7 @@
   std::string                 host;
   std::optional<Duration>     deadline;      // ms the client still waits
   std::string                 program;       // agent program; empty: none
-  std::string                 session;          // line of turns in the program
+  std::string                 session;       // line of turns in the program
   std::optional<Duration>     program_left;  // ms until it should be finished
   std::optional<std::int64_t> budget;        // tokens of the whole program
   std::int64_t                prompt_tokens = 0;
--- a/src/yuccawick/traffic/server_pool.cc
+++ b/src/yuccawick/traffic/server_pool.cc
@@ -40,7 +40,7 @@
 }
 
 std::vector<const BackendServer*> ServerPool::Around(const std::string& program,
-                                                     AffinityScope          reach,
+                                                     AffinityScope      reach,
                                                      std::size_t most) const {
   const Ring& ring = reach == AffinityScope::kZone ? m_zone_ring : m_ring;
   std::vector<const BackendServer*> around;
--- a/src/yuccawick/traffic/server_pool.h
+++ b/src/yuccawick/traffic/server_pool.h
@@ -29,7 +29,7 @@
   // nodes of a zone. A server that comes or goes moves only its neighbours'
   // programs.
   std::vector<const BackendServer*>     Around(const std::string& program,
-                                               AffinityScope          reach,
+                                               AffinityScope      reach,
                                                std::size_t        most) const;
 
   const std::vector<const BackendServer*>& all() const { return m_servers; }
--- a/src/yuccawick/workspaces/rate_home.cc
+++ b/src/yuccawick/workspaces/rate_allocator.cc
@@ -1,4 +1,4 @@
-#include "yuccawick/workspaces/rate_home.h"
+#include "yuccawick/workspaces/rate_allocator.h"
 
 #include <algorithm>
 #include <cmath>
@@ -85,27 +85,27 @@
 }
 
 std::int64_t RateAllocator::Extra(const std::string& workspace,
-                             const RateLimit& limit, Time now) const {
+                                  const RateLimit& limit, Time now) const {
   const double left = m_ledger.Remaining(workspace, now);
   if (left < kPlentyShare * Allowance(limit, m_window)) return 0;
   return static_cast<std::int64_t>(std::min(kMostExtra, kExtraShare * left));
 }
 
-bool RateAllocator::IsScarce(const std::string& workspace, const RateLimit& limit,
-                        Time now) const {
+bool RateAllocator::IsScarce(const std::string& workspace,
+                             const RateLimit& limit, Time now) const {
   return m_ledger.Remaining(workspace, now) <
          kScarceShare * Allowance(limit, m_window);
 }
 
 double RateAllocator::Free(const std::string& workspace, State* state,
-                      Time now) const {
+                           Time now) const {
   return m_ledger.Remaining(workspace, now + kLookAhead) +
          static_cast<double>(state->pool.Available(now)) -
          state->programs.Committed(now);
 }
 
 Duration RateAllocator::NextReturn(State* state, const RateLimit& limit,
-                              Time now) const {
+                                   Time now) const {
   const double   pause = m_typical / LongRun(limit) * kMillisPerSecond;
   const Duration wait =
       std::max(state->next_return, now) + std::llround(pause) - now;
@@ -113,9 +113,10 @@
   return std::clamp<Duration>(wait, 1, kLongestReturn);
 }
 
-RateAllocator::SubmittedRequest RateAllocator::Submit(const RateRequest& ask, Time now) {
-  SubmittedRequest    entered{ask.workspace, ask.want, ask.waiting, false};
-  const auto limit = m_limit_of(ask.workspace);
+RateAllocator::SubmittedRequest RateAllocator::Submit(const RateRequest& ask,
+                                                      Time               now) {
+  SubmittedRequest entered{ask.workspace, ask.want, ask.waiting, false};
+  const auto       limit = m_limit_of(ask.workspace);
   if (!limit) {
     entered.need += static_cast<int>(ask.waiting.size());
     return entered;
@@ -148,7 +149,8 @@
   return entered;
 }
 
-std::optional<RateResponse> RateAllocator::TryRespond(const SubmittedRequest& entered, Time now) {
+std::optional<RateResponse> RateAllocator::TryRespond(
+    const SubmittedRequest& entered, Time now) {
   RateResponse answer;
   answer.may_go_on = entered.may_go_on;
   const auto limit = m_limit_of(entered.workspace);
@@ -183,14 +185,15 @@
   ++state.turned_away;
   state.refused_at = now;
   answer.retry_delay = std::min(
-      kLongestReturn,
-      m_ledger.TimeUntilRemaining(entered.workspace, 1, now).value_or(kLongestReturn));
-  answer.new_program_retry_delay = std::max(answer.new_program_retry_delay, answer.retry_delay);
+      kLongestReturn, m_ledger.TimeUntilRemaining(entered.workspace, 1, now)
+                          .value_or(kLongestReturn));
+  answer.new_program_retry_delay =
+      std::max(answer.new_program_retry_delay, answer.retry_delay);
   return answer;
 }
 
-void RateAllocator::TakeUnused(const std::string& workspace, State* state, Time now,
-                          std::vector<RateEntry>* entries) {
+void RateAllocator::TakeUnused(const std::string& workspace, State* state,
+                               Time now, std::vector<RateEntry>* entries) {
   for (const TokenPool::Batch& ended : state->pool.TakeExpired(now)) {
     entries->push_back({workspace, -ended.tokens, ended.origin});
   }
@@ -200,8 +203,8 @@
 }
 
 std::int64_t RateAllocator::Lacking(const std::string& workspace, State* state,
-                               const RateLimit& limit, Duration pause,
-                               Time now) const {
+                                    const RateLimit& limit, Duration pause,
+                                    Time now) const {
   const auto   pool = static_cast<double>(state->pool.Available(now));
   const double ahead = state->demand.PerSecond(now) *
                        (kAhead + static_cast<double>(pause)) / kMillisPerSecond;
@@ -241,8 +244,9 @@
   const Time until = sent + kRateTokenLifetime;
   for (const RateEntry& entry : claim.record.entries) {
     if (entry.tokens < 0 || !m_limit_of(entry.workspace)) continue;
-    const double lacking = std::max(0.0, -m_ledger.Remaining(entry.workspace, now));
-    const auto   granted =
+    const double lacking =
+        std::max(0.0, -m_ledger.Remaining(entry.workspace, now));
+    const auto granted =
         entry.tokens - static_cast<std::int64_t>(std::ceil(lacking));
     StateOf(entry.workspace).pool.Add({granted, until, claim.offset});
   }
@@ -258,15 +262,16 @@
   });
 }
 
-std::vector<RateAllocator::RefusalReport> RateAllocator::TakeRefusalReports(Time now) {
+std::vector<RateAllocator::RefusalReport> RateAllocator::TakeRefusalReports(
+    Time now) {
   std::vector<RefusalReport> uses;
   for (auto& [workspace, state] : m_states) {
     const auto limit = m_limit_of(workspace);
     if (!limit || state.turned_away == 0) continue;
-    uses.push_back({workspace, state.demand.PerSecond(now),
-                    Allowance(*limit, m_window), m_ledger.Remaining(workspace, now),
-                    state.pool.Available(now), m_typical,
-                    std::exchange(state.turned_away, 0)});
+    uses.push_back(
+        {workspace, state.demand.PerSecond(now), Allowance(*limit, m_window),
+         m_ledger.Remaining(workspace, now), state.pool.Available(now),
+         m_typical, std::exchange(state.turned_away, 0)});
   }
   return uses;
 }
--- a/src/yuccawick/workspaces/rate_home.h
+++ b/src/yuccawick/workspaces/rate_allocator.h
@@ -8,13 +8,13 @@
 // that one needs, by what is observed here. The others are told when one will
 // have room, each another time.
 //
-//   Enter()      a node asks; what it wants is counted, and which programs may
-//                begin is settled
-//   Answer()     what it gets now; nothing: wait for the next claim
-//   NextClaim()  what to claim in the log; nothing: enough is at hand
-//   Granted()    the log has the claim
+//   Submit()      a node asks; what it wants is counted, and which programs
+//                 may begin is settled
+//   TryRespond()  what it gets now; nothing: wait for the next claim
+//   NextClaim()   what to claim in the log; nothing: enough is at hand
+//   OnGranted()   the log has the claim
 //
-// No clock, socket or log in here; gateway/rate_desk.h carries it out.
+// No clock, socket or log in here; gateway/rate_coordinator.h carries it out.
 #pragma once
 
 #include <cstdint>
@@ -53,10 +53,10 @@
   std::vector<ProgramHash> may_go_on;  // programs of those that wait
   std::int64_t origin = -1;      // of the tokens, to tell what ends unused
   Duration     valid = 0;        // ms, of the tokens, from when it was asked
-  Duration     retry_delay = 0;        // ms until there may be a token
+  Duration     retry_delay = 0;  // ms until there may be a token
   Duration     new_program_retry_delay = 0;  // ms until a program may begin
-  bool         scarce = false;   // ask before any program begins
-  bool         plenty = false;   // ask ahead of need: nobody else lacks tokens
+  bool         scarce = false;               // ask before any program begins
+  bool         plenty = false;  // ask ahead of need: nobody else lacks tokens
 };
 
 // Programs under way, what they took, and what they will most likely need.
@@ -91,7 +91,8 @@
 
 class RateAllocator {
  public:
-  RateAllocator(const RateLedger::LimitLookup& limit_of, const RateWindow& window)
+  RateAllocator(const RateLedger::LimitLookup& limit_of,
+                const RateWindow&              window)
       : m_limit_of(limit_of), m_window(window), m_ledger(limit_of, window) {}
 
   RateLedger& ledger() { return m_ledger; }
@@ -103,14 +104,15 @@
     std::vector<ProgramHash> may_go_on;
     bool                     refused = false;  // some programs
   };
-  SubmittedRequest                   Submit(const RateRequest& ask, Time now);
-  std::optional<RateResponse> TryRespond(const SubmittedRequest& entered, Time now);
+  SubmittedRequest            Submit(const RateRequest& ask, Time now);
+  std::optional<RateResponse> TryRespond(const SubmittedRequest& entered,
+                                         Time                    now);
   // Entries of the next claim; none: enough is at hand.
   // `pause`: ms until there can be another.
-  std::vector<RateEntry>    NextClaim(Duration pause, Time now);
+  std::vector<RateEntry>      NextClaim(Duration pause, Time now);
   // Entries that give back what ended unused. Call now and then: a claim does
   // it for the workspaces that it is for.
-  std::vector<RateEntry>    NextReleases(Time now);
+  std::vector<RateEntry>      NextReleases(Time now);
   // `claim` was taken by the ledger just now. What it took beyond what was
   // there is not granted.
   void OnGranted(const LoggedRate& claim, Time sent, Time now);
@@ -134,7 +136,7 @@
     explicit State(double* typical) : programs(typical) {}
     TokenPool              pool;
     RateMeter              demand{kDemandMemory};
-    ProgramDemand            programs;
+    ProgramDemand          programs;
     std::vector<RateEntry> unused;           // to be given back
     Time                   next_return = 0;  // of a program turned away
     Time                   refused_at = 0;   // a token, last
@@ -158,7 +160,7 @@
   // Tokens that a node gets beyond what it asked for.
   std::int64_t Extra(const std::string& workspace, const RateLimit& limit,
                      Time now) const;
-  RateLedger::LimitLookup                    m_limit_of;
+  RateLedger::LimitLookup                m_limit_of;
   RateWindow                             m_window;
   RateLedger                             m_ledger;
   std::unordered_map<std::string, State> m_states;  // by workspace
--- a/src/yuccawick/workspaces/rate_ledger.cc
+++ b/src/yuccawick/workspaces/rate_ledger.cc
@@ -99,8 +99,8 @@
   return left;
 }
 
-std::optional<Duration> RateLedger::TimeUntilRemaining(const std::string& workspace,
-                                              double tokens, Time now) const {
+std::optional<Duration> RateLedger::TimeUntilRemaining(
+    const std::string& workspace, double tokens, Time now) const {
   double left = Remaining(workspace, now);
   if (left >= tokens) return 0;
   const auto found = m_claims.find(workspace);
--- a/src/yuccawick/workspaces/rate_ledger.h
+++ b/src/yuccawick/workspaces/rate_ledger.h
@@ -23,9 +23,9 @@
 //     that its claimer sent is the least that has passed since. So after a
 //     restart of all nodes nobody waits for a window to pass.
 //
-// Tokens are good for kRateTokenLifetime from when their claim was sent. What is used
-// within a window was claimed within it or that long before, so that claims are
-// counted for that much longer.
+// Tokens are good for kRateTokenLifetime from when their claim was sent. What
+// is used within a window was claimed within it or that long before, so that
+// claims are counted for that much longer.
 #pragma once
 
 #include <cstdint>
@@ -57,9 +57,9 @@
   double   slack = 0;
 };
 
-// Requests that may be claimed within a window and kRateTokenLifetime. Most of what is
-// tolerated is used: one program of a small workspace is as much as its limit.
-// The rest is for requests that are sent twice.
+// Requests that may be claimed within a window and kRateTokenLifetime. Most of
+// what is tolerated is used: one program of a small workspace is as much as its
+// limit. The rest is for requests that are sent twice.
 double Allowance(const RateLimit& limit, const RateWindow& window);
 
 struct RateEntry {
@@ -102,11 +102,11 @@
   // Below 0: more was claimed than may be. Without a limit: 0.
   double Remaining(const std::string& workspace, Time now) const;
   // Until so many are left, in ms; nothing: never.
-  std::optional<Duration> TimeUntilRemaining(const std::string& workspace, double tokens,
-                                    Time now) const;
+  std::optional<Duration> TimeUntilRemaining(const std::string& workspace,
+                                             double tokens, Time now) const;
   // How long a claim counts, in ms.
-  Duration                Span() const { return m_window.length + kRateTokenLifetime; }
-  void                    Sweep(Time now);
+  Duration Span() const { return m_window.length + kRateTokenLifetime; }
+  void     Sweep(Time now);
 
  private:
   struct Claimed {
@@ -122,7 +122,7 @@
                        const RateEntry& entry);
   double      AllowanceOf(const std::string& workspace) const;
 
-  LimitLookup                                 m_limit_of;
+  LimitLookup                             m_limit_of;
   RateWindow                              m_window;
   std::unordered_map<std::string, Claims> m_claims;  // by workspace
 };
--- a/tests/admission_test.cc
+++ b/tests/admission_test.cc
@@ -11,25 +11,25 @@
 #include <string>
 #include <vector>
 
-#include "yuccawick/admission/program_room.h"
+#include "yuccawick/admission/admission_controller.h"
 
 namespace yuccawick::tests {
 namespace {
 
-using admission::AdmissionSettings;
 using admission::AdmissionController;
+using admission::AdmissionRequest;
+using admission::AdmissionSettings;
 using admission::CapacityUsage;
 using admission::Tokens;
-using admission::AdmissionRequest;
 using capacity::ServiceCapacity;
 using net::Duration;
 using net::Time;
 
-constexpr int         kServers = 8;
-constexpr int         kSlots = 6;
-constexpr Tokens      kServerMemory = 46'000;
+constexpr int             kServers = 8;
+constexpr int             kSlots = 6;
+constexpr Tokens          kServerMemory = 46'000;
 constexpr ServiceCapacity kRoom{kServers, kServers* kSlots,
-                            kServers* kServerMemory};
+                                kServers* kServerMemory};
 
 constexpr Duration kLeft = 4000;
 
@@ -141,8 +141,8 @@
   explicit Replay(bool admission) : m_random(7) {
     if (!admission) m_settings.slot_overcommit = 0;
     for (int i = 0; i < kHomes; ++i) {
-      m_homes.push_back(
-          std::make_unique<AdmissionController>(&m_settings, &m_share, -10'000));
+      m_homes.push_back(std::make_unique<AdmissionController>(
+          &m_settings, &m_share, -10'000));
     }
   }
 
@@ -205,15 +205,16 @@
       m_servers[static_cast<std::size_t>(program->server)].Add(program);
     } else if (++program->tries < kTries) {
       std::uniform_real_distribution<double> spread(0.5, 1.5);
-      program->next = m_now + 1 +
-                      static_cast<Duration>(spread(m_random) *
-                                            static_cast<double>(answer.retry_delay));
+      program->next =
+          m_now + 1 +
+          static_cast<Duration>(spread(m_random) *
+                                static_cast<double>(answer.retry_delay));
     }
   }
 
   void EndTurn(Program* program) {
     HomeOf(*program).OnTurnEnded(AskOf(program->number, program->Prompt()), 100,
-                               m_now);
+                                 m_now);
     if (++program->turns < kTurns) {
       program->next = m_now + kPause;
     } else if (program->counts && m_now <= program->due) {
@@ -226,20 +227,21 @@
       m_homes[i]->Sweep(m_now);
       for (std::size_t j = 0; j < m_homes.size(); ++j) {
         if (i != j)
-          m_homes[j]->SetPeerUsage(std::to_string(i), m_homes[i]->LocalUsageByPartition(), m_now);
+          m_homes[j]->SetPeerUsage(std::to_string(i),
+                                   m_homes[i]->LocalUsageByPartition(), m_now);
       }
     }
   }
 
-  std::mt19937                              m_random;
-  AdmissionSettings                         m_settings;
-  fairness::FirstComePolicy                      m_share;
+  std::mt19937                                      m_random;
+  AdmissionSettings                                 m_settings;
+  fairness::FirstComePolicy                         m_share;
   std::vector<std::unique_ptr<AdmissionController>> m_homes;
-  std::array<Server, kServers>              m_servers;
-  std::deque<Program>                       m_programs;
-  Time                                      m_now = 0;
-  int                                       m_counted = 0;
-  int                                       m_in_time = 0;
+  std::array<Server, kServers>                      m_servers;
+  std::deque<Program>                               m_programs;
+  Time                                              m_now = 0;
+  int                                               m_counted = 0;
+  int                                               m_in_time = 0;
 };
 
 constexpr double kCalm =
@@ -272,7 +274,8 @@
 class Home {
  public:
   explicit Home(Time started = -10'000) : room(&settings, &share, started) {
-    settings.slot_overcommit = 0.6;  // of the time that is taken for needed at first
+    settings.slot_overcommit =
+        0.6;  // of the time that is taken for needed at first
   }
 
   bool Ask(const AdmissionRequest& ask, Time now) {
@@ -285,9 +288,9 @@
     return program;
   }
 
-  AdmissionSettings    settings;
+  AdmissionSettings         settings;
   fairness::FirstComePolicy share;
-  AdmissionController          room;
+  AdmissionController       room;
 };
 
 // A busy home is killed: its programs' next turns reach one that knows nothing.
@@ -349,7 +352,7 @@
 
 // Those who were sent away come back among many that ask for the first time.
 Test(Admission, RefusedProgramReturns_GoesBeforeNewOnes) {
-  Home    home;
+  Home             home;
   AdmissionRequest refused = AskOf(home.Fill(0, 0));
   cr_assert(!home.Ask(refused, 0));
   const Time back = home.room.RetryDelay(refused.program, 0);
@@ -361,9 +364,9 @@
 
 // A program that has waited too long takes no room from those in time.
 Test(Admission, ProgramTooLate_WaitsForMoreRoom) {
-  Home      home;
-  const int begun = home.Fill(0, 0);
-  AdmissionRequest   late = AskOf(begun);
+  Home             home;
+  const int        begun = home.Fill(0, 0);
+  AdmissionRequest late = AskOf(begun);
   late.left = -1;
   home.room.OnTurnEnded(AskOf(0), 100, 10);
   cr_assert(!home.Ask(late, 10));
@@ -424,7 +427,7 @@
   home.room.SetPeerUsage("other", {{7, {200, 10, kRoom.memory}}}, 0);
   cr_assert(home.Ask(AskOf(0), 10));
   home.room.SetPeerUsage("other", {{7, {200, kServers * kSlots, kRoom.memory}}},
-                     10);
+                         10);
   cr_assert(!home.Ask(AskOf(1), 10));
 }
 
--- a/tests/affinity_test.cc
+++ b/tests/affinity_test.cc
@@ -11,9 +11,9 @@
 namespace yuccawick::tests {
 namespace {
 
+using traffic::AffinityScope;
 using traffic::BackendServer;
 using traffic::Candidate;
-using traffic::AffinityScope;
 using traffic::PreferredServer;
 
 constexpr int          kServers = 15;         // of a zone
@@ -129,7 +129,8 @@
 
 Test(Affinity, NoServerInTheZone_NobodyIsPreferred) {
   const auto servers = MakeServers("b");
-  cr_expect(PreferredServer("p", CandidatesOf(servers), AffinityScope::kZone).empty());
+  cr_expect(PreferredServer("p", CandidatesOf(servers), AffinityScope::kZone)
+                .empty());
 }
 
 // Whether a turn stays at the server that holds its prompt, which is fuller
@@ -158,8 +159,10 @@
   // long prompt is then read again by each zone's home; a short one costs less
   // than its bytes between zones.
   const traffic::PlacementWeights weights;
-  cr_expect(ChooseAffinityScope(kLongPrompt, 0, weights) == AffinityScope::kAllZones);
-  cr_expect(ChooseAffinityScope(kShortPrompt, 0, weights) == AffinityScope::kZone);
+  cr_expect(ChooseAffinityScope(kLongPrompt, 0, weights) ==
+            AffinityScope::kAllZones);
+  cr_expect(ChooseAffinityScope(kShortPrompt, 0, weights) ==
+            AffinityScope::kZone);
   const auto here = MakeServers("a");
   auto       servers = MakeServers("b");
   servers.insert(servers.end(), here.begin(), here.end());
--- a/tests/capacity_test.cc
+++ b/tests/capacity_test.cc
@@ -5,14 +5,14 @@
 #include <random>
 #include <vector>
 
-#include "yuccawick/capacity/server_pace.h"
+#include "yuccawick/capacity/server_slowdown.h"
 
 namespace yuccawick::tests {
 namespace {
 
+using capacity::ServerSlowdown;
 using capacity::SlowdownBaseline;
 using capacity::SlowdownSettings;
-using capacity::ServerSlowdown;
 using net::Time;
 
 constexpr double kEvent = 44;  // ms between two events at the median
@@ -34,7 +34,7 @@
     scale.Recenter(all);
   }
 
-  SlowdownBaseline               scale;
+  SlowdownBaseline            scale;
   std::vector<ServerSlowdown> paces;
 };
 
--- a/tests/fairness_test.cc
+++ b/tests/fairness_test.cc
@@ -10,16 +10,16 @@
 #include <string>
 #include <vector>
 
-#include "yuccawick/fairness/fair_begin.h"
+#include "yuccawick/fairness/fair_share_policy.h"
 
 namespace yuccawick::tests {
 namespace {
 
-using fairness::NewProgram;
 using fairness::FairnessPolicy;
-using fairness::FirstComePolicy;
 using fairness::FairSharePolicy;
 using fairness::FairShareSettings;
+using fairness::FirstComePolicy;
+using fairness::NewProgram;
 using net::Duration;
 using net::Time;
 
@@ -27,13 +27,13 @@
 constexpr Time kMargins = 1190;
 
 std::unique_ptr<FairSharePolicy> Fair() {
-  return std::make_unique<FairSharePolicy>(FairShareSettings{},
-                                     [](const std::string&) { return 0; });
+  return std::make_unique<FairSharePolicy>(
+      FairShareSettings{}, [](const std::string&) { return 0; });
 }
 
 struct Callers {
   NewProgram who;
-  double   per_second = 0;
+  double     per_second = 0;
 };
 
 struct Served {
@@ -60,7 +60,8 @@
           continue;
         }
         const bool may =
-            m_under_way + 1 <= m_programs * m_share->AdmissionThreshold(caller.who, now);
+            m_under_way + 1 <=
+            m_programs * m_share->AdmissionThreshold(caller.who, now);
         if (may) Begin(caller.who.workspace, now);
         if (now < 5000) continue;
         Served& count = served[caller.who.workspace + caller.who.route +
@@ -103,7 +104,7 @@
   }
 
   int                       m_programs;
-  FairnessPolicy*               m_share;
+  FairnessPolicy*           m_share;
   std::mt19937              m_random{42};
   int                       m_under_way = 0;
   std::priority_queue<Turn> m_turns;
@@ -151,11 +152,11 @@
 // Ten workspaces ask for seven tenths of the room, then one of them for eight
 // times as much as before.
 Test(Fairness, OneWorkspaceAsksEightTimesAsMuch_CostsOthersUnderFiveInHundred) {
-  const auto   fair = Fair();
-  const double calm = OthersWithHot(Fair().get(), 0.7, 1);
-  const double hot = OthersWithHot(fair.get(), 0.7, 8);
-  FirstComePolicy   equal;
-  const double first_come = OthersWithHot(&equal, 0.7, 8);
+  const auto      fair = Fair();
+  const double    calm = OthersWithHot(Fair().get(), 0.7, 1);
+  const double    hot = OthersWithHot(fair.get(), 0.7, 8);
+  FirstComePolicy equal;
+  const double    first_come = OthersWithHot(&equal, 0.7, 8);
   cr_assert_geq(hot, 0.95 * calm, "%f of %f, first come %f", hot, calm,
                 first_come);
   cr_assert_lt(first_come, 0.95 * calm, "%f", first_come);
@@ -213,13 +214,15 @@
 
 // By its priority a workspace may use more before it leaves room to others.
 Test(Fairness, WorkspacesOfTwoPriorities_FirstMayUseMore) {
-  FairSharePolicy fair(FairShareSettings{},
-                 [](const std::string& name) { return name == "second"; });
+  FairSharePolicy fair(FairShareSettings{}, [](const std::string& name) {
+    return name == "second";
+  });
   for (int turn = 0; turn < 100; ++turn) {
     fair.Charge("first", 200, 1000);
     fair.Charge("second", 200, 1000);
   }
-  cr_assert_float_eq(fair.AdmissionThreshold({"first", "r"}, kMargins), 1, 1e-9);
+  cr_assert_float_eq(fair.AdmissionThreshold({"first", "r"}, kMargins), 1,
+                     1e-9);
   cr_assert_lt(fair.AdmissionThreshold({"second", "r"}, kMargins), 1);
 }
 
@@ -253,11 +256,12 @@
 // A route leaves no room to a more urgent one that nobody asks for.
 Test(Fairness, OnlyLessUrgentRouteAsks_MayTakeTheLastPlace) {
   const auto fair = Fair();
-  NewProgram   other{"", "other", 1};
+  NewProgram other{"", "other", 1};
   cr_assert_float_eq(fair->AdmissionThreshold(other, kMargins), 1, 1e-9);
   fair->AdmissionThreshold({"", "urgent", 0}, kMargins);
   cr_assert_lt(fair->AdmissionThreshold(other, kMargins), 1);
-  cr_assert_float_eq(fair->AdmissionThreshold(other, kMargins + 10'200), 1, 1e-9);
+  cr_assert_float_eq(fair->AdmissionThreshold(other, kMargins + 10'200), 1,
+                     1e-9);
 }
 
 Test(Fairness, LateProgramsInCalm_AreServed) {
@@ -288,7 +292,8 @@
 Test(Fairness, HomeStartsAnew_TreatsAllAlike) {
   const auto fair = Fair();
   for (const char* name : {"a", "b", "hot"}) {
-    cr_assert_float_eq(fair->AdmissionThreshold({name, "r"}, kMargins), 1, 1e-9);
+    cr_assert_float_eq(fair->AdmissionThreshold({name, "r"}, kMargins), 1,
+                       1e-9);
   }
   fair->Charge("hot", 200, kMargins);
   cr_assert_float_eq(fair->AdmissionThreshold({"hot", "r"}, kMargins), 1, 1e-9);
@@ -311,7 +316,8 @@
   one->MergePeer(other->TakeUnsent(), 1000);
   const double after = one->AdmissionThreshold({"hot", "r"}, kMargins);
   cr_assert_lt(after, before, "%f, %f", before, after);
-  cr_assert_float_eq(after, other->AdmissionThreshold({"hot", "r"}, kMargins), 1e-9);
+  cr_assert_float_eq(after, other->AdmissionThreshold({"hot", "r"}, kMargins),
+                     1e-9);
   // What was heard is not told on.
   cr_assert(one->TakeUnsent().empty());
 }
@@ -320,7 +326,8 @@
 Test(Fairness, ChargesThatAreNoNumbers_AreLeftOut) {
   const auto   fair = Fair();
   const double kNan = std::nan("");
-  fair->MergePeer({{"a", kNan, 1}, {"b", -5, 1}, {"c", 5, 0}, {"", 5, 1}}, 1000);
+  fair->MergePeer({{"a", kNan, 1}, {"b", -5, 1}, {"c", 5, 0}, {"", 5, 1}},
+                  1000);
   cr_assert_eq(fair->workspaces(), 0);
 }
 
@@ -328,14 +335,15 @@
 Test(Fairness, OneWorkspaceAlone_MayTakeTheLastPlace) {
   const auto fair = Fair();
   for (int i = 0; i < 100; ++i) fair->Charge("only", 200, 1000 + i);
-  cr_assert_float_eq(fair->AdmissionThreshold({"only", "r"}, kMargins), 1, 1e-9);
+  cr_assert_float_eq(fair->AdmissionThreshold({"only", "r"}, kMargins), 1,
+                     1e-9);
 }
 
 Test(Fairness, EightThousandWorkspaces_StateIsBoundedAndIdleOnesForgotten) {
   FairShareSettings settings;
   settings.workspaces = 1000;
   FairSharePolicy fair(settings, [](const std::string&) { return 0; });
-  Time      now = 1000;
+  Time            now = 1000;
   for (int i = 0; i < 8200; ++i) {
     fair.Charge("w" + std::to_string(i), 100, now);
     cr_assert_leq(fair.workspaces(), 1000);
--- a/tests/placement_test.cc
+++ b/tests/placement_test.cc
@@ -21,9 +21,9 @@
 namespace {
 
 using net::Time;
+using traffic::AffinityScope;
 using traffic::BackendServer;
 using traffic::Candidate;
-using traffic::AffinityScope;
 using traffic::PlacementKind;
 using traffic::ServerPool;
 
@@ -332,7 +332,8 @@
 Test(ServerPool, ZoneWithoutServers_HasNoHomes) {
   const auto servers = MakeServers(3, "b");
   cr_expect(PoolOf(servers).Around("p", AffinityScope::kZone, 64).empty());
-  cr_expect_eq(PoolOf(servers).Around("p", AffinityScope::kAllZones, 64).size(), 3);
+  cr_expect_eq(PoolOf(servers).Around("p", AffinityScope::kAllZones, 64).size(),
+               3);
 }
 
 // One node's picture of a service, with a clock that is moved by hand.
@@ -382,7 +383,7 @@
 }
 
 Test(Backends, NeighboursTellAndFallSilent_SumHoldsWhatTheySaidLast) {
-  Picture                 picture(2);
+  Picture                          picture(2);
   gateway::Backends::ServerReports some;
   some["a0"].requests = 6;
   gateway::Backends::ServerReports more = some;
--- a/tests/programs_test.cc
+++ b/tests/programs_test.cc
@@ -168,7 +168,7 @@
       used += spent;
       if (step % 3 != 0) continue;
       TokenClaim back{++number, std::to_string(step % 4), "p", budget,
-                      0,        -node.ReleaseUnused(),         true};
+                      0,        -node.ReleaseUnused(),    true};
       log.Apply(back, 0);
       if (step % 9 == 0) log.Apply(back, 0);
     }
@@ -201,7 +201,8 @@
     std::vector<std::string> homes;
     homes.reserve(50);
     for (int key = 0; key < 50; ++key) {
-      homes.push_back(members.RankCoordinators(std::to_string(key)).front().name);
+      homes.push_back(
+          members.RankCoordinators(std::to_string(key)).front().name);
     }
     if (first.empty()) first = homes;
     cr_assert(homes == first);
@@ -225,7 +226,8 @@
   int           at_large = 0;
   constexpr int kKeys = 3000;
   for (int key = 0; key < kKeys; ++key) {
-    const auto home = members.RankCoordinators(std::to_string(key)).front().name;
+    const auto home =
+        members.RankCoordinators(std::to_string(key)).front().name;
     at_small += home.starts_with("small") ? 1 : 0;
     at_large += home.starts_with("large") ? 1 : 0;
   }
@@ -242,7 +244,8 @@
   std::vector<std::string> before;
   before.reserve(50);
   for (int key = 0; key < 50; ++key) {
-    before.push_back(members.RankCoordinators(std::to_string(key)).front().name);
+    before.push_back(
+        members.RankCoordinators(std::to_string(key)).front().name);
   }
   members.Suspect("c", 0);
   for (int key = 0; key < 50; ++key) {
--- a/tests/rate_limit_test.cc
+++ b/tests/rate_limit_test.cc
@@ -11,7 +11,7 @@
 #include <random>
 #include <set>
 
-#include "yuccawick/workspaces/rate_home.h"
+#include "yuccawick/workspaces/rate_allocator.h"
 
 namespace yuccawick::tests {
 namespace {
@@ -19,11 +19,11 @@
 using net::Duration;
 using net::Time;
 using workspaces::LoggedRate;
-using workspaces::RateResponse;
-using workspaces::RateRequest;
 using workspaces::RateAllocator;
 using workspaces::RateLimit;
 using workspaces::RateRecord;
+using workspaces::RateRequest;
+using workspaces::RateResponse;
 using workspaces::RateWindow;
 
 const std::string    kWorkspace = "w";
@@ -66,13 +66,13 @@
 
  private:
   struct Home {
-    std::string                      node;
-    std::unique_ptr<RateAllocator>        home;
-    std::int64_t                     next = -1;  // -1: not open
-    std::int64_t                     last = -1;
-    Time                             acked = 0;
-    bool                             waiting = false;  // a record is under way
-    std::uint64_t                    life = 0;
+    std::string                    node;
+    std::unique_ptr<RateAllocator> home;
+    std::int64_t                   next = -1;  // -1: not open
+    std::int64_t                   last = -1;
+    Time                           acked = 0;
+    bool                           waiting = false;  // a record is under way
+    std::uint64_t                  life = 0;
     std::optional<RateAllocator::SubmittedRequest> question;
   };
   // A record on its way into the log, and its answer on the way back.
@@ -147,7 +147,7 @@
     } else {
       for (std::int64_t i = home->next; i < *flight.offset; ++i) {
         home->home->ledger().Apply({i, m_log[static_cast<std::size_t>(i)]},
-                                  m_now);
+                                   m_now);
       }
       const LoggedRate claim{*flight.offset, flight.record};
       home->home->ledger().Apply(claim, m_now);
@@ -273,7 +273,7 @@
  public:
   RateLimit             m_limit;
   Time                  now = 1'000'000;
-  RateAllocator              home;
+  RateAllocator         home;
   workspaces::TokenPool at_hand;  // of a node
 };
 
@@ -357,7 +357,7 @@
   cr_assert_eq(ledger.Remaining(kWorkspace, 0), all);
   ledger.Apply({3, Record("a", 2, 0, 0, 7)}, 0);
   ledger.Apply({4, {"a", 3, 0, 0, {{kWorkspace, -7, 2}}}},
-              0);  // an older origin
+               0);  // an older origin
   cr_assert_eq(ledger.Remaining(kWorkspace, 0), all - 7);
 }
 
@@ -393,8 +393,8 @@
       },
       kWindow);
   ledger.Begin(claims, 0);
-  const double used =
-      workspaces::Allowance({100, 100}, kWindow) - ledger.Remaining(kWorkspace, 0);
+  const double used = workspaces::Allowance({100, 100}, kWindow) -
+                      ledger.Remaining(kWorkspace, 0);
   cr_assert_leq(used, static_cast<double>(ledger.Span()) / 20 + 3);
 }
 
@@ -509,7 +509,7 @@
 // A limit holds fewer requests than a program usually needs. Nothing else is
 // asked for, so a program begins all the same, and goes on at the limit's pace.
 Test(RateLimits, LimitSmallerThanOneProgram_AProgramBeginsAndGoesOn) {
-  constexpr RateWindow            kExact{5000, 0, 0};
+  constexpr RateWindow                kExact{5000, 0, 0};
   workspaces::RateLedger::LimitLookup limit_of = [](const std::string&) {
     return std::optional(RateLimit{1, 0});
   };
--- a/tests/turn_limit_test.cc
+++ b/tests/turn_limit_test.cc
@@ -12,7 +12,7 @@
 #include <string>
 #include <vector>
 
-#include "yuccawick/gateway/turn_gate.h"
+#include "yuccawick/gateway/turn_dispatcher.h"
 
 namespace yuccawick::tests {
 namespace {
@@ -25,18 +25,18 @@
 
 // The limit sets in where first events miss their objective.
 constexpr ConcurrencyLimitSettings kOn{1.0};
-constexpr unsigned          kSeeds = 5;
-constexpr int               kServers = 12;
-constexpr int               kSlots = 6;
+constexpr unsigned                 kSeeds = 5;
+constexpr int                      kServers = 12;
+constexpr int                      kSlots = 6;
 // ms until the first event at an idle server, and at one whose slots are full.
-constexpr Duration          kFirst = 50;
-constexpr Duration          kFirstFull = 100;
+constexpr Duration                 kFirst = 50;
+constexpr Duration                 kFirstFull = 100;
 // Within what time first events are to come, in ms.
-constexpr Duration          kObjective = 200;
-constexpr Duration          kTurn = 160;  // ms that a turn holds its slot
-constexpr int               kNodes = 6;
-constexpr int               kTurnsOfProgram = 6;
-constexpr Duration          kTool = 30;  // ms between two turns
+constexpr Duration                 kObjective = 200;
+constexpr Duration kTurn = 160;  // ms that a turn holds its slot
+constexpr int      kNodes = 6;
+constexpr int      kTurnsOfProgram = 6;
+constexpr Duration kTool = 30;  // ms between two turns
 
 // Servers with slots, each with a queue in the order of coming; nodes with a
 // gate each, or none; programs of some turns, one after the other. A step of
@@ -91,10 +91,10 @@
   static constexpr Duration kAim = kTurnsOfProgram * (kTurn + kTool) * 3 / 2;
 
   struct Program {
-    std::string  id;
-    Time         began = 0;
-    Time         ended = 0;
-    int          turns = 0;
+    std::string        id;
+    Time               began = 0;
+    Time               ended = 0;
+    int                turns = 0;
     TurnDispatcher::Id at_gate = 0;
   };
   struct Server {
@@ -126,7 +126,7 @@
     const Duration left = kAim - (m_now - program.began);
     program.at_gate =
         GateOf(number).Enqueue("llm", traffic::QueueRank(program.id, 0, left),
-                             kObjective, [this, number] { Send(number); });
+                               kObjective, [this, number] { Send(number); });
   }
 
   // To a server by chance, the less busy of two: news of others are old.
@@ -188,7 +188,7 @@
   Time                                              m_now = 0;
   net::EventLoop                                    m_loop;
   bool                                              m_gates_on;
-  std::vector<std::unique_ptr<TurnDispatcher>>            m_gates;
+  std::vector<std::unique_ptr<TurnDispatcher>>      m_gates;
   std::vector<Program>                              m_programs;
   std::array<Server, kServers>                      m_servers;
   std::multimap<Time, std::pair<std::size_t, bool>> m_due;
@@ -235,9 +235,9 @@
 }
 
 Test(TurnLimits, FirstEventsGrowSlow_LimitFallsAndGrowsAgain) {
-  ConcurrencyLimit  limit(kOn);
-  Time       now = 1000;
-  const auto observe = [&](Duration took, int under_way, int rounds) {
+  ConcurrencyLimit limit(kOn);
+  Time             now = 1000;
+  const auto       observe = [&](Duration took, int under_way, int rounds) {
     for (int i = 0; i < rounds; ++i) {
       now += 20;
       limit.Observe(took, 120, now);
@@ -266,7 +266,7 @@
 // the servers are quick again.
 Test(TurnLimits, ServersSlowForLong_SomeTurnsAreAlwaysSent) {
   ConcurrencyLimit limit(kOn);
-  Time      now = 1000;
+  Time             now = 1000;
   for (int i = 0; i < 500; ++i) {
     now += 20;
     limit.Observe(i < 20 ? 50 : 3000, 120, now);
@@ -287,8 +287,8 @@
 
 // Who waits and gives up leaves no trace; who goes makes room for the next.
 Test(TurnGates, TurnsThatWaitLeaveOrGo_InTheirOrder) {
-  Time                      now = 1000;
-  net::EventLoop            loop([&now] { return now; });
+  Time                            now = 1000;
+  net::EventLoop                  loop([&now] { return now; });
   TurnDispatcher                  gate(&loop, kOn);
   std::vector<TurnDispatcher::Id> sent;
   // First events after 50 ms, then after 600: the limit sets in.
@@ -301,8 +301,8 @@
     for (std::size_t i = first; i < sent.size(); ++i) gate.FirstEvent(sent[i]);
   }
   cr_assert_eq(gate.waiting(), 0);
-  std::vector<char> went;
-  TurnDispatcher::Id      b =
+  std::vector<char>  went;
+  TurnDispatcher::Id b =
       gate.Enqueue("llm", 0.5, 120, [&went] { went.push_back('b'); });
   TurnDispatcher::Id c =
       gate.Enqueue("llm", 0.9, 120, [&went] { went.push_back('c'); });
--- a/tests/urgency_test.cc
+++ b/tests/urgency_test.cc
@@ -20,8 +20,10 @@
 Test(Urgency, LessTimeLeft_IsNeverLessUrgent) {
   for (int priority = 0; priority < 6; ++priority) {
     for (Duration left = -1000; left < 10'000; left += 50) {
-      cr_assert_leq(ComputeUrgency(priority, left), ComputeUrgency(priority, left + 50));
-      cr_assert_leq(ComputeUrgency(priority, left), ComputeUrgency(priority + 1, left));
+      cr_assert_leq(ComputeUrgency(priority, left),
+                    ComputeUrgency(priority, left + 50));
+      cr_assert_leq(ComputeUrgency(priority, left),
+                    ComputeUrgency(priority + 1, left));
     }
   }
   cr_assert_eq(ComputeUrgency(-1, -5), 0);
@@ -124,8 +126,9 @@
   // more of them end in time, with each seed.
   for (unsigned seed = 1; seed <= 8; ++seed) {
     const double flat = Burst(seed, [](Duration) { return 0; }).Play();
-    const double urgent =
-        Burst(seed, [](Duration left) { return ComputeUrgency(0, left); }).Play();
+    const double urgent = Burst(seed, [](Duration left) {
+                            return ComputeUrgency(0, left);
+                          }).Play();
     cr_expect_gt(urgent, flat + 0.05, "seed %u: %.3f against %.3f", seed,
                  urgent, flat);
   }
