--- a/bench/overload_run.cc
+++ b/bench/overload_run.cc
@@ -10,8 +10,8 @@
 #include <random>
 #include <string>
 
-#include "yuccawick/admission/program_room.h"
-#include "yuccawick/fairness/fair_begin.h"
+#include "yuccawick/admission/admission_controller.h"
+#include "yuccawick/fairness/fair_share_policy.h"
 #include "yuccawick/traffic/placement.h"
 
 namespace yuccawick::bench {
@@ -133,43 +133,45 @@
   Homes(const OverloadSettings& settings, Time now) {
     for (int i = 0; i < kHomes; ++i) {
       m_shares.push_back(MakeShare(settings.door));
-      m_rooms.push_back(std::make_unique<admission::ProgramRoom>(
+      m_rooms.push_back(std::make_unique<admission::AdmissionController>(
           &m_settings, m_shares.back().get(), now));
     }
   }
 
-  admission::ProgramRoom& Of(std::size_t program) {
+  admission::AdmissionController& Of(std::size_t program) {
     return *m_rooms[program % kHomes];
   }
 
   void TellEachOther(Time now) {
     for (int from = 0; from < kHomes; ++from) {
-      const auto& uses = m_rooms[static_cast<std::size_t>(from)]->OwnUses();
+      const auto& uses =
+          m_rooms[static_cast<std::size_t>(from)]->LocalUsageByPartition();
       for (int to = 0; to < kHomes; ++to) {
         if (to == from) continue;
-        m_rooms[static_cast<std::size_t>(to)]->TakeUses(
+        m_rooms[static_cast<std::size_t>(to)]->SetPeerUsage(
             "home-" + std::to_string(from), uses, now);
       }
     }
     for (auto& room : m_rooms) room->Sweep(now);
     for (const auto& from : m_shares) {
-      const auto charges = from->TakeUntold();
+      const auto charges = from->TakeUnsent();
       for (const auto& to : m_shares) {
-        if (to != from) to->Hear(charges, now);
+        if (to != from) to->MergePeer(charges, now);
       }
     }
   }
 
  private:
-  static std::unique_ptr<fairness::BeginShare> MakeShare(Door door) {
-    if (door != Door::kShares) return std::make_unique<fairness::EqualShare>();
-    return std::make_unique<fairness::FairBegin>(
-        fairness::FairBeginSettings{}, [](const std::string&) { return 0; });
+  static std::unique_ptr<fairness::FairnessPolicy> MakeShare(Door door) {
+    if (door != Door::kShares)
+      return std::make_unique<fairness::FirstComePolicy>();
+    return std::make_unique<fairness::FairSharePolicy>(
+        fairness::FairShareSettings{}, [](const std::string&) { return 0; });
   }
 
-  admission::AdmissionSettings                         m_settings;
-  std::vector<std::unique_ptr<fairness::BeginShare>>   m_shares;
-  std::vector<std::unique_ptr<admission::ProgramRoom>> m_rooms;
+  admission::AdmissionSettings                                 m_settings;
+  std::vector<std::unique_ptr<fairness::FairnessPolicy>>       m_shares;
+  std::vector<std::unique_ptr<admission::AdmissionController>> m_rooms;
 };
 
 // The nodes' pictures of the servers: own turns now, others' as last told.
@@ -189,9 +191,9 @@
     for (std::size_t i = 0; i < candidates.size(); ++i) {
       traffic::Candidate& candidate = candidates[i];
       candidate.server = &m_servers[i];
-      candidate.own_load = m_own[node][i];
+      candidate.local_load = m_own[node][i];
       for (std::size_t other = 0; other < kNodes; ++other) {
-        if (other != node) candidate.others_load += m_told[other][i];
+        if (other != node) candidate.peer_load += m_told[other][i];
       }
       candidate.same_zone = i % kZones == node % kZones;
       candidate.holds_prefix = warm == i;
@@ -281,12 +283,12 @@
     return false;
   }
 
-  admission::TurnAsk AskOf(std::size_t i) const {
-    const OverloadProgram& program = m_result.programs[i];
-    const Client&          client = m_clients[i];
-    const RouteShape&      route = kRoutes[program.route];
-    const PlannedTurn&     turn = program.turns[client.turn];
-    admission::TurnAsk     ask;
+  admission::AdmissionRequest AskOf(std::size_t i) const {
+    const OverloadProgram&      program = m_result.programs[i];
+    const Client&               client = m_clients[i];
+    const RouteShape&           route = kRoutes[program.route];
+    const PlannedTurn&          turn = program.turns[client.turn];
+    admission::AdmissionRequest ask;
     ask.program = "program-" + std::to_string(i);
     ask.service = "llm";
     ask.route = route.name;
@@ -295,12 +297,12 @@
     ask.partition = static_cast<int>(i % kHomes);
     ask.under_way = client.turn > 0;
     ask.prompt_tokens = client.history + turn.input;
-    ask.most_tokens = 2 * turn.made;
+    ask.max_tokens = 2 * turn.made;
     ask.left = static_cast<Duration>(program.aim - (m_now - program.asks));
     return ask;
   }
 
-  static capacity::ServiceRoom AllRoom() {
+  static capacity::ServiceCapacity AllRoom() {
     const ModelServerParameters server;
     return {kOverloadServers,
             static_cast<double>(kOverloadServers * server.slots),
@@ -312,9 +314,9 @@
     if (client.turn == 0 && client.tries == 0) client.history = kSharedTokens;
     if (!DoorOpen()) {
       const auto ask = AskOf(i);
-      const auto answer = m_homes->Of(i).Ask(ask, AllRoom(), Clock());
-      if (!answer.may_run) {
-        Refuse(i, answer.retry);
+      const auto answer = m_homes->Of(i).TryAdmit(ask, AllRoom(), Clock());
+      if (!answer.admitted) {
+        Refuse(i, answer.retry_delay);
         return;
       }
       client.let_in = true;
@@ -364,7 +366,7 @@
     if (client.run != run) return;
     m_servers[*client.server].Drop(run);
     EndRun(i);
-    if (client.let_in) m_homes->Of(i).Withdraw(AskOf(i), Clock());
+    if (client.let_in) m_homes->Of(i).CancelAdmission(AskOf(i), Clock());
     client.let_in = false;
     if (client.tries++ == kRestarts) {
       m_result.programs[i].outcome = Outcome::kFailed;
@@ -386,7 +388,7 @@
     OverloadProgram&   program = m_result.programs[i];
     const PlannedTurn& turn = program.turns[client.turn];
     EndRun(i);
-    if (client.let_in) m_homes->Of(i).TurnEnded(AskOf(i), turn.made, Clock());
+    if (client.let_in) m_homes->Of(i).OnTurnEnded(AskOf(i), turn.made, Clock());
     client.let_in = false;
     client.history += turn.input + turn.made;
     client.tries = 0;
--- a/src/yuccawick/admission/program_room.h
+++ b/src/yuccawick/admission/admission_controller.h
@@ -14,17 +14,20 @@
 // else it is refused before any turn is wasted, and told when to come back.
 // Turns of programs under way are never refused here.
 //
-// One ProgramRoom counts the programs of one service that one home counts the
-// tokens of (gateway/token_desk.h); homes tell each other what theirs take. All
-// of it is soft state: a home that starts anew learns of the programs under way
-// by their next turns.
+// One AdmissionController counts the programs of one service that one home
+// counts the tokens of (gateway/token_coordinator.h); homes tell each other
+// what theirs take. All of it is soft state: a home that starts anew learns of
+// the programs under way by their next turns.
 //
-//   Ask        a turn wants to run; the answer is final for this attempt
-//   TurnEnded  with the tokens that its program now has
-//   Withdraw   a turn that was let in did not run after all
-//   Sweep      takes back the room of programs that were silent; call it often
-//   OwnUses    what the programs counted here take, for the other homes
-//   TakeUses   what another home said so
+//   TryAdmit               a turn wants to run; the answer is final for this
+//                          attempt
+//   OnTurnEnded            with the tokens that its program now has
+//   CancelAdmission        a turn that was let in did not run after all
+//   Sweep                  takes back the room of programs that were silent;
+//                          call it often
+//   LocalUsageByPartition  what the programs counted here take, for the other
+//                          homes
+//   SetPeerUsage           what another home said so
 #pragma once
 
 #include <cstdint>
@@ -33,10 +36,10 @@
 #include <string>
 #include <unordered_map>
 
-#include "yuccawick/admission/return_list.h"
+#include "yuccawick/admission/retry_list.h"
 #include "yuccawick/admission/route_profile.h"
-#include "yuccawick/capacity/service_room.h"
-#include "yuccawick/fairness/begin_share.h"
+#include "yuccawick/capacity/service_capacity.h"
+#include "yuccawick/fairness/fairness_policy.h"
 #include "yuccawick/net/event_loop.h"
 
 namespace yuccawick::admission {
@@ -46,7 +49,7 @@
   // of the service: some wait for tokens or are on their way. More for those
   // with time to spare, by as much as their turns may take longer. 0: programs
   // are not counted, all begin.
-  double   places = 1.6;
+  double   slot_overcommit = 1.6;
   // Memory that programs under way may take at their likely ends, in the
   // service's memory.
   double   memory = 1.0;
@@ -61,17 +64,17 @@
   Duration settling = 1000;
   // Pauses of a route's programs until some were seen, in ms, and what is added
   // to the longest usual one.
-  Duration silence = 500;
-  double   silence_margin = 1.25;
+  Duration default_think_time = 500;
+  double   think_time_factor = 1.25;
   // Bounds of the time after which a program may come back, in ms: a turn, and
   // what clients wait of the few seconds that they have.
-  Duration return_least = 100;
-  Duration return_most = 1200;
+  Duration min_retry_delay = 100;
+  Duration max_retry_delay = 1200;
   // ms for which the word of another home holds.
-  Duration use_memory = 700;
+  Duration usage_report_ttl = 700;
 };
 
-struct TurnAsk {
+struct AdmissionRequest {
   std::string             program;
   std::string             service;        // empty: wants no room
   int                     partition = 0;  // of programs, that it belongs to
@@ -80,49 +83,51 @@
   int                     priority = 0;       // 0 is first
   bool                    under_way = false;  // known from before this turn
   Tokens                  prompt_tokens = 0;  // but those that programs share
-  Tokens                  most_tokens = 0;    // that the turn may generate
+  Tokens                  max_tokens = 0;     // that the turn may generate
   std::optional<Duration> left;  // ms until the program should be finished
 };
 
 // What programs take of a service.
-struct RoomUse {
+struct CapacityUsage {
   int    programs = 0;
-  double places = 0;  // turns under way
+  double slots = 0;  // turns under way
   Tokens memory = 0;
 
-  bool     operator==(const RoomUse&) const = default;
-  RoomUse& operator+=(const RoomUse& other);
+  bool           operator==(const CapacityUsage&) const = default;
+  CapacityUsage& operator+=(const CapacityUsage& other);
 };
-using PartitionUses = std::map<int, RoomUse>;  // by partition
+using UsageByPartition = std::map<int, CapacityUsage>;  // by partition
 
-struct RoomAnswer {
-  bool     may_run = true;
-  Duration retry = 0;  // ms until there will be room; spread by the caller
+struct AdmissionDecision {
+  bool     admitted = true;
+  Duration retry_delay =
+      0;  // ms until there will be room; spread by the caller
 };
 
-class ProgramRoom {
+class AdmissionController {
  public:
-  ProgramRoom(const AdmissionSettings* settings, fairness::BeginShare* share,
-              Time started);
+  AdmissionController(const AdmissionSettings*  settings,
+                      fairness::FairnessPolicy* share, Time started);
 
-  RoomAnswer Ask(const TurnAsk& ask, const capacity::ServiceRoom& room,
-                 Time now);
+  AdmissionDecision TryAdmit(const AdmissionRequest&          ask,
+                             const capacity::ServiceCapacity& room, Time now);
   // `used`: tokens that the turn generated.
-  void       TurnEnded(const TurnAsk& ask, Tokens used, Time now);
-  void       Withdraw(const TurnAsk& ask, Time now);
+  void     OnTurnEnded(const AdmissionRequest& ask, Tokens used, Time now);
+  void     CancelAdmission(const AdmissionRequest& ask, Time now);
   // Until a program that was refused should come back, in ms.
-  Duration   RetryFor(const std::string& program, Time now) const;
-  void       Sweep(Time now);
+  Duration RetryDelay(const std::string& program, Time now) const;
+  void     Sweep(Time now);
 
-  const PartitionUses& OwnUses() const { return m_own; }
-  RoomUse              OwnUse() const;
-  void TakeUses(const std::string& home, const PartitionUses& uses, Time now);
+  const UsageByPartition& LocalUsageByPartition() const { return m_own; }
+  CapacityUsage           LocalUsage() const;
+  void SetPeerUsage(const std::string& home, const UsageByPartition& uses,
+                    Time now);
   // Of all homes, as far as known. Programs whose partition moves from one home
   // to another, or has two while nodes are cut off, are seen by both.
-  RoomUse TotalUse(Time now) const;
+  CapacityUsage TotalUse(Time now) const;
   // Refused since the last call.
-  int     TakeRefused();
-  bool    empty() const { return m_programs.empty(); }
+  int           TakeRefusedCount();
+  bool          empty() const { return m_programs.empty(); }
 
  private:
   struct Program {
@@ -139,37 +144,37 @@
     bool        counted = false;
   };
   struct Home {
-    PartitionUses uses;
-    Time          heard = 0;
-    RoomUse       begun_before;  // here, when it was heard
+    UsageByPartition uses;
+    Time             heard = 0;
+    CapacityUsage    begun_before;  // here, when it was heard
   };
 
-  double   MostPlaces(const TurnAsk& ask, bool late);
-  bool     Fits(const TurnAsk& ask, std::optional<Duration> slack, bool returns,
-                const capacity::ServiceRoom& room, Time now);
+  double   MostPlaces(const AdmissionRequest& ask, bool late);
+  bool     Fits(const AdmissionRequest& ask, std::optional<Duration> slack,
+                bool returns, const capacity::ServiceCapacity& room, Time now);
   // `refusals`: those before this one.
   Duration RetryAfter(std::optional<Duration> slack, int refusals,
                       Time now) const;
   // What it may still wait and be in time; nothing: it has no time to keep.
-  std::optional<Duration> SlackOf(const TurnAsk&           ask,
-                                  const ReturnList::Entry* sent_away);
+  std::optional<Duration> SlackOf(const AdmissionRequest& ask,
+                                  const RetryList::Entry* sent_away);
   RouteProfile&           ProfileOf(const std::string& route);
-  Tokens                  LikelyTokens(const TurnAsk& ask);
-  void                    Begin(const TurnAsk& ask, Time now);
-  void     AddTurn(Program* program, const TurnAsk& ask, Time now);
+  Tokens                  LikelyTokens(const AdmissionRequest& ask);
+  void                    Begin(const AdmissionRequest& ask, Time now);
+  void     AddTurn(Program* program, const AdmissionRequest& ask, Time now);
   void     EndTurn(Program* program, Time now);
   void     Hold(Program* program);
   void     Release(Program* program);
   Duration LongestSilence(const Program& program);
 
   const AdmissionSettings*                 m_settings;
-  fairness::BeginShare*                    m_share;
+  fairness::FairnessPolicy*                m_share;
   Time                                     m_started;
   std::unordered_map<std::string, Program> m_programs;  // by name
-  ReturnList                               m_returns;
+  RetryList                                m_returns;
   std::map<std::string, RouteProfile>      m_profiles;  // by route
-  PartitionUses                            m_own;
-  RoomUse                                  m_begun;  // here, since the start
+  UsageByPartition                         m_own;
+  CapacityUsage                            m_begun;  // here, since the start
   std::map<std::string, Home>              m_homes;  // the other ones, by node
   RunningMean m_end_gap;  // ms between two programs' ends
   Time        m_ended_at = 0;
--- a/src/yuccawick/fairness/fair_begin.h
+++ b/src/yuccawick/fairness/fair_share_policy.h
@@ -27,19 +27,19 @@
 #include <unordered_map>
 #include <vector>
 
-#include "yuccawick/fairness/begin_share.h"
+#include "yuccawick/fairness/fairness_policy.h"
 
 namespace yuccawick::fairness {
 
 // Times in ms, margins as parts of the room.
-struct FairBeginSettings {
+struct FairShareSettings {
   // Half-life of use and of what is known of urgent routes.
-  Duration     memory = 4000;
+  Duration     usage_half_life = 4000;
   // For each doubling of a workspace's use above the others' average. Turns
   // under way at a service of 70 places vary by a tenth by chance; a smaller
   // margin is taken whenever they are few for a moment.
   double       step = 0.15;
-  double       most = 0.2;
+  double       max_usage_margin = 0.2;
   // A workspace is not ahead by so many turns of average work: one program.
   double       credit_turns = 10;
   double       urgency = 0.025;  // for each level behind the most urgent
@@ -50,33 +50,33 @@
   std::int64_t workspaces = 16'384;  // counted at once
 };
 
-class FairBegin final : public BeginShare {
+class FairSharePolicy final : public FairnessPolicy {
  public:
   // 0 is first; weighs 1 / (1 + priority).
   using PriorityOf = std::function<int(const std::string& workspace)>;
 
-  FairBegin(const FairBeginSettings& settings, PriorityOf priority_of);
+  FairSharePolicy(const FairShareSettings& settings, PriorityOf priority_of);
 
-  double ShareFor(const Beginner& beginner, Time now) override;
+  double AdmissionThreshold(const NewProgram& beginner, Time now) override;
   void   Charge(const std::string& workspace, double work, Time now) override;
-  std::vector<WorkCharge> TakeUntold() override;
-  void Hear(const std::vector<WorkCharge>& charges, Time now) override;
+  std::vector<UsageCharge> TakeUnsent() override;
+  void MergePeer(const std::vector<UsageCharge>& charges, Time now) override;
 
-  struct User {
+  struct WorkspaceUsage {
     std::string workspace;
     double      part = 0;    // of all use
     double      margin = 0;  // that it leaves now
   };
   // Those that use most, the first one first.
-  std::vector<User> TopUsers(std::size_t most) const;
-  std::size_t       workspaces() const { return m_uses.size(); }
+  std::vector<WorkspaceUsage> TopWorkspaces(std::size_t most) const;
+  std::size_t                 workspaces() const { return m_uses.size(); }
 
  private:
   struct Use {
     double work = 0;  // as of m_origin
     double weight = 1;
   };
-  void   Add(const WorkCharge& charge, Time now);
+  void   Add(const UsageCharge& charge, Time now);
   // What one unit of now counts for, as of m_origin.
   double Growth(Time now) const;
   double UseMargin(const Use& use) const;
@@ -87,17 +87,17 @@
   // Moves the origin to now and drops what has faded.
   void   Sweep(Time now);
 
-  FairBeginSettings                           m_settings;
-  PriorityOf                                  m_priority_of;
-  std::unordered_map<std::string, Use>        m_uses;  // by workspace
+  FairShareSettings                            m_settings;
+  PriorityOf                                   m_priority_of;
+  std::unordered_map<std::string, Use>         m_uses;  // by workspace
   // Sums over m_uses, and the turns that were charged, fading alike.
-  double                                      m_work = 0;
-  double                                      m_weight = 0;
-  double                                      m_turns = 0;
-  Time                                        m_origin = 0;
-  std::unordered_map<std::string, WorkCharge> m_untold;  // by workspace
+  double                                       m_work = 0;
+  double                                       m_weight = 0;
+  double                                       m_turns = 0;
+  Time                                         m_origin = 0;
+  std::unordered_map<std::string, UsageCharge> m_untold;  // by workspace
   // When each of the first priorities last asked.
-  std::array<std::optional<Time>, 3>          m_asked;
+  std::array<std::optional<Time>, 3>           m_asked;
 };
 
 }  // namespace yuccawick::fairness
--- a/src/yuccawick/gateway/backends.cc
+++ b/src/yuccawick/gateway/backends.cc
@@ -42,7 +42,7 @@
       m_thresholds(thresholds),
       m_server_id(std::move(server_id)),
       m_on_idle_lost(std::move(on_idle_lost)),
-      m_held_output(memory, pressure::Held::kToServers),
+      m_held_output(memory, pressure::MemoryKind::kToServers),
       m_stream(loop, this, fd, true, &m_held_output),
       m_reader(net::HttpRole::kResponses, kAnswerLimits, this) {
   m_connect_timer = loop->After(m_thresholds->connect_timeout, [this] {
@@ -54,7 +54,7 @@
 
 BackendConnection::~BackendConnection() { m_loop->Cancel(&m_connect_timer); }
 
-void BackendConnection::Send(BackendUser* user, std::string_view request) {
+void BackendConnection::Send(BackendHandler* user, std::string_view request) {
   m_user = user;
   m_ended = false;
   m_in_step = true;
@@ -110,7 +110,7 @@
     // The user may have let go of the connection while it read.
     if (m_user == nullptr) return;
     if (m_reader.fault()) {
-      Lose(traffic::LossCause::kBadAnswer);
+      Lose(traffic::SendFailureCause::kBadAnswer);
       return;
     }
     if (m_ended) {
@@ -132,13 +132,13 @@
     m_user->OnBackendEnd();
     return;
   }
-  Lose(m_connected ? traffic::LossCause::kBroken
-                   : traffic::LossCause::kNotConnected);
+  Lose(m_connected ? traffic::SendFailureCause::kBroken
+                   : traffic::SendFailureCause::kNotConnected);
 }
 
-void BackendConnection::Lose(traffic::LossCause cause) {
+void BackendConnection::Lose(traffic::SendFailureCause cause) {
   m_stream.Close();
-  if (m_user != nullptr) m_user->OnBackendLost(cause);
+  if (m_user != nullptr) m_user->OnBackendFailed(cause);
 }
 
 void BackendConnection::OnHead(net::Head head) {
@@ -172,7 +172,7 @@
   for (auto& [id, state] : m_servers) state.listed = false;
   for (const traffic::BackendServer& server : *servers) {
     State& state =
-        m_servers.try_emplace(server.id, m_thresholds->pace).first->second;
+        m_servers.try_emplace(server.id, m_thresholds->slowdown).first->second;
     state.server = server;
     state.listed = true;
   }
@@ -205,20 +205,20 @@
   for (BackendConnection* connection : idle) Destroy(connection);
 }
 
-void Backends::Count(const News& news) {
+void Backends::Count(const ServerReports& news) {
   for (const auto& [id, told] : news) {
-    ServerNews& sum = m_heard[id];
+    ServerReport& sum = m_heard[id];
     sum.requests += told.requests;
     sum.outcomes += told.outcomes;
   }
 }
 
-void Backends::Uncount(const News& news) {
+void Backends::Uncount(const ServerReports& news) {
   constexpr double kRounding = 1e-3;  // what sums of fractions may leave
   for (const auto& [id, told] : news) {
     const auto found = m_heard.find(id);
     if (found == m_heard.end()) continue;
-    ServerNews& sum = found->second;
+    ServerReport& sum = found->second;
     sum.requests -= told.requests;
     sum.outcomes += {-told.outcomes.answers, -told.outcomes.failures};
     if (sum.requests <= 0 && sum.outcomes.answers < kRounding)
@@ -262,7 +262,7 @@
   std::vector<traffic::Candidate> candidates =
       CandidatesOf(&found->second, warm, avoid);
   if (candidates.empty()) return std::nullopt;
-  traffic::LeaveSome(&candidates, m_thresholds->sampling, &m_random);
+  traffic::SampleCandidates(&candidates, m_thresholds->sampling, &m_random);
   for (traffic::Candidate& candidate : candidates) {
     candidate.prompt_tokens = prompt.tokens;
     candidate.memory_part = prompt.memory_part;
@@ -301,14 +301,14 @@
 std::string Backends::WarmFor(const std::string& service,
                               const Service& servers, const Prompt& prompt,
                               const std::vector<std::string>& avoid) const {
-  if (prompt.line.empty()) return {};
-  const auto last = m_lines.find(prompt.line);
+  if (prompt.session.empty()) return {};
+  const auto last = m_lines.find(prompt.session);
   if (last != m_lines.end() &&
       FindUsable(last->second.server, service, avoid) != nullptr) {
     return last->second.server;
   }
-  const auto reach = traffic::ReachFor(prompt.tokens, prompt.memory_part,
-                                       m_thresholds->placement);
+  const auto reach = traffic::ChooseAffinityScope(
+      prompt.tokens, prompt.memory_part, m_thresholds->placement);
   std::vector<traffic::Candidate> all;
   std::vector<traffic::Candidate> fast;
   for (const auto* server :
@@ -321,27 +321,28 @@
     all.push_back(candidate);
     if (!state->pace.slow()) fast.push_back(candidate);
   }
-  return traffic::LikelyHome(prompt.program, fast.empty() ? all : fast, reach);
+  return traffic::PreferredServer(prompt.program, fast.empty() ? all : fast,
+                                  reach);
 }
 
 void Backends::Look(const State& state, traffic::Candidate* candidate) const {
   const Time now = m_loop->now();
   const auto heard = m_heard.find(state.server.id);
-  const auto told = heard == m_heard.end() ? ServerNews() : heard->second;
+  const auto told = heard == m_heard.end() ? ServerReport() : heard->second;
   const bool failing = now - state.failed_at < m_thresholds->failure_memory;
   auto       outcomes = state.outcomes.At(now);
   outcomes += told.outcomes;
-  candidate->own_load = state.load;
-  candidate->others_load = told.requests;
+  candidate->local_load = state.load;
+  candidate->peer_load = told.requests;
   candidate->recent_failures = failing ? state.failures : 0;
   candidate->failure_share = traffic::FailureShare(outcomes);
-  candidate->pace = state.pace.At(now);
+  candidate->slowdown = state.pace.At(now);
 }
 
 Backends::Choice Backends::AsChoice(const traffic::Candidate& candidate) {
   const auto slots = static_cast<double>(std::max(1, candidate.server->slots));
   return {*candidate.server, candidate.load() / slots, candidate.failure_share,
-          candidate.pace};
+          candidate.slowdown};
 }
 
 std::optional<Backends::Choice> Backends::Find(const std::string& id) const {
@@ -427,33 +428,33 @@
   m_loop->Defer([dying] {});
 }
 
-void Backends::RememberLine(const std::string& line, const std::string& id) {
+void Backends::RememberSession(const std::string& line, const std::string& id) {
   if (!line.empty()) m_lines[line] = {id, m_loop->now()};
 }
 
-void Backends::NoteSuccess(const std::string& id) {
+void Backends::ObserveSuccess(const std::string& id) {
   const auto found = m_servers.find(id);
   if (found == m_servers.end()) return;
   found->second.failures = 0;
-  found->second.outcomes.Note(false, m_loop->now());
+  found->second.outcomes.Observe(false, m_loop->now());
 }
 
-void Backends::NoteFailure(const std::string& id) {
+void Backends::ObserveFailure(const std::string& id) {
   const auto found = m_servers.find(id);
   if (found == m_servers.end()) return;
   ++found->second.failures;
   found->second.failed_at = m_loop->now();
-  found->second.outcomes.Note(true, m_loop->now());
+  found->second.outcomes.Observe(true, m_loop->now());
 }
 
-void Backends::NoteBadAnswer(const std::string& id) {
+void Backends::ObserveBadAnswer(const std::string& id) {
   const auto found = m_servers.find(id);
   if (found == m_servers.end()) return;
-  found->second.outcomes.Note(true, m_loop->now());
+  found->second.outcomes.Observe(true, m_loop->now());
 }
 
-void Backends::NoteWork(const std::string& id, std::string_view kind,
-                        double took) {
+void Backends::ObserveServiceTime(const std::string& id, std::string_view kind,
+                                  double took) {
   const auto found = m_servers.find(id);
   if (found == m_servers.end()) return;
   State&     state = found->second;
@@ -466,21 +467,21 @@
 }
 
 void Backends::RatePaces(Service* service) {
-  std::vector<capacity::ServerPace*> paces;
+  std::vector<capacity::ServerSlowdown*> paces;
   for (const auto* server : service->pool.all()) {
     paces.push_back(&m_servers.at(server->id).pace);
   }
   service->scale.Recenter(paces);
   service->scale.Forget(m_loop->now() - m_thresholds->prefix_memory);
   for (const auto* server : service->pool.all()) {
-    capacity::ServerPace& pace = m_servers.at(server->id).pace;
+    capacity::ServerSlowdown& pace = m_servers.at(server->id).pace;
     if (!pace.UpdateSlow()) continue;
     m_pace_changes.push_back(
         {server->id, server->service, pace.slow(), pace.Lasting()});
   }
 }
 
-std::vector<Backends::PaceChange> Backends::TakePaceChanges() {
+std::vector<Backends::SlowdownChange> Backends::TakeSlowdownChanges() {
   return std::exchange(m_pace_changes, {});
 }
 
@@ -491,15 +492,15 @@
       }));
 }
 
-capacity::ServiceRoom Backends::RoomOf(
+capacity::ServiceCapacity Backends::ComputeCapacity(
     const std::string& service, const traffic::EngineLimits& engine) const {
-  capacity::ServiceRoom room;
-  const auto            found = m_services.find(service);
+  capacity::ServiceCapacity room;
+  const auto                found = m_services.find(service);
   if (found == m_services.end()) return room;
   for (const auto* server : found->second.pool.all()) {
     const double pace = m_servers.at(server->id).pace.Lasting().factor;
     ++room.servers;
-    room.places += engine.slots / std::max(1.0, pace);
+    room.slots += engine.slots / std::max(1.0, pace);
     room.memory += engine.cache_tokens;
   }
   return room;
@@ -527,14 +528,16 @@
   });
 }
 
-bool Backends::ServerNews::operator==(const ServerNews& other) const {
+bool Backends::ServerReport::operator==(const ServerReport& other) const {
   // Answers without failures are no news, and failures fade by themselves.
   constexpr double kSame = 0.5;
-  return requests == other.requests && pace_differs == other.pace_differs &&
+  return requests == other.requests &&
+         slowdown_changed == other.slowdown_changed &&
          std::abs(outcomes.failures - other.outcomes.failures) < kSame;
 }
 
-void Backends::SetPeerNews(const std::string& peer, const News& news) {
+void Backends::SetPeerReport(const std::string&   peer,
+                             const ServerReports& news) {
   const Time now = m_loop->now();
   PeerNews&  known = m_peers[peer];
   Uncount(known.news);
@@ -542,31 +545,32 @@
   Count(news);
   for (const auto& [id, told] : news) {
     const auto found = m_servers.find(id);
-    if (found != m_servers.end()) found->second.pace.Hear(told.pace, now);
+    if (found != m_servers.end())
+      found->second.pace.MergePeer(told.slowdown, now);
   }
 }
 
-Backends::News Backends::OwnNews() const {
+Backends::ServerReports Backends::LocalReport() const {
   constexpr double kWorthTelling = 0.25;  // of a failure
-  News             news;
+  ServerReports    news;
   for (const auto& [id, state] : m_servers) {
-    ServerNews told{state.load, state.outcomes.At(m_loop->now()),
-                    state.pace.Untold(), state.pace.HasNews()};
+    ServerReport told{state.load, state.outcomes.At(m_loop->now()),
+                      state.pace.Unsent(), state.pace.NeedsImmediateReport()};
     if (told.outcomes.failures < kWorthTelling) told.outcomes = {};
     if (told.requests > 0 || told.outcomes.failures > 0 ||
-        told.pace.samples > 0) {
+        told.slowdown.samples > 0) {
       news[id] = told;
     }
   }
   return news;
 }
 
-void Backends::NewsTold(News* news) {
+void Backends::OnReportSent(ServerReports* news) {
   for (auto& [id, told] : *news) {
     const auto found = m_servers.find(id);
-    if (found != m_servers.end()) found->second.pace.TakeUntold();
-    told.pace = {};
-    told.pace_differs = false;
+    if (found != m_servers.end()) found->second.pace.TakeUnsent();
+    told.slowdown = {};
+    told.slowdown_changed = false;
   }
   std::erase_if(*news, [](const auto& entry) {
     return entry.second.requests == 0 && entry.second.outcomes.failures <= 0;
--- a/src/yuccawick/gateway/gateway.cc
+++ b/src/yuccawick/gateway/gateway.cc
@@ -22,12 +22,12 @@
 constexpr traffic::ClientLimits kFirstLimits{16UL * 1024, 1UL << 20, 3000,
                                              15'000};
 
-std::vector<TokenDesk> MakeDesks(net::EventLoop*      loop,
-                                 const Thresholds*    thresholds,
-                                 platform::RecordLog* store, Log* log,
-                                 const std::string& incarnation,
-                                 RoomDesk*          room) {
-  std::vector<TokenDesk> desks;
+std::vector<TokenCoordinator> MakeDesks(net::EventLoop*      loop,
+                                        const Thresholds*    thresholds,
+                                        platform::RecordLog* store, Log* log,
+                                        const std::string& incarnation,
+                                        AdmissionService*  room) {
+  std::vector<TokenCoordinator> desks;
   desks.reserve(kClaimPartitions);  // desks hand out pointers to themselves
   for (int i = 0; i < kClaimPartitions; ++i) {
     desks.emplace_back(loop, thresholds, store, log, incarnation, i, room);
@@ -35,12 +35,12 @@
   return desks;
 }
 
-std::vector<RateDesk> MakeRateDesks(
+std::vector<RateCoordinator> MakeRateDesks(
     net::EventLoop* loop, const Thresholds* thresholds,
     platform::RecordLog* store, Log* log, const std::string& incarnation,
-    const workspaces::RateLedger::LimitOf& limit_of,
-    const workspaces::RateWindow&          window) {
-  std::vector<RateDesk> desks;
+    const workspaces::RateLedger::LimitLookup& limit_of,
+    const workspaces::RateWindow&              window) {
+  std::vector<RateCoordinator> desks;
   desks.reserve(kRatePartitions);  // desks hand out pointers to themselves
   for (int i = 0; i < kRatePartitions; ++i) {
     desks.emplace_back(loop, thresholds, store, log, incarnation, i, limit_of,
@@ -72,13 +72,13 @@
               }),
       m_memory(std::make_shared<pressure::MemoryBudget>(thresholds->memory,
                                                         settings.memory_bytes)),
-      m_held_turns(m_memory, pressure::Held::kTurns),
+      m_held_turns(m_memory, pressure::MemoryKind::kTurns),
       m_backends(loop, thresholds, settings.zone,
                  traffic::MakePlacement(traffic::PlacementKind::kSoonestEnd,
                                         thresholds->placement),
                  m_memory),
       m_turns(loop, thresholds, &m_store, log, metrics, incarnation),
-      m_begin_share(thresholds->share,
+      m_begin_share(thresholds->fairness,
                     [this](const std::string& workspace) {
                       return PriorityOf(workspace);
                     }),
@@ -96,10 +96,11 @@
           [this](const std::string& workspace) { return LimitOf(workspace); },
           settings.rate_window)),
       m_network(loop, thresholds, &m_members, log),
-      m_limiter(
-          loop, thresholds, m_members.self(), &m_network, &m_rate_desks,
-          [this](const std::string& key) { return m_peers.HomesFor(key); }),
-      m_gate(loop, thresholds->turn_limit),
+      m_limiter(loop, thresholds, m_members.self(), &m_network, &m_rate_desks,
+                [this](const std::string& key) {
+                  return m_peers.RankCoordinators(key);
+                }),
+      m_gate(loop, thresholds->concurrency_limit),
       m_peers(loop, thresholds, &m_members, &m_network, &m_desks, &m_limiter,
               &m_turns, &m_backends, &m_room),
       m_readiness(loop, [this](std::string_view) { return AnswerReadiness(); }),
@@ -149,7 +150,7 @@
 }
 
 void Gateway::TellNews() {
-  m_peers.TellNews();
+  m_peers.SendReports();
   m_gate.Sweep();
   m_loop->After(m_thresholds->news_pause, [this] { TellNews(); });
 }
@@ -168,11 +169,11 @@
   m_backends.Update(servers);
 }
 
-capacity::ServiceRoom Gateway::RoomOf(const std::string& service) const {
+capacity::ServiceCapacity Gateway::RoomOf(const std::string& service) const {
   if (m_routes == nullptr) return {};
   const auto* found = m_routes->manifest()->FindService(service);
   if (found == nullptr || !found->engine) return {};
-  return m_backends.RoomOf(service, *found->engine);
+  return m_backends.ComputeCapacity(service, *found->engine);
 }
 
 std::optional<workspaces::RateLimit> Gateway::LimitOf(
@@ -235,7 +236,7 @@
 void Gateway::WatchMemory() {
   if (!m_memory->bounded()) return;
   auto& history = m_turns.history();
-  if (const auto left = m_memory->TurnsToLeave(history.bytes())) {
+  if (const auto left = m_memory->TurnBytesTarget(history.bytes())) {
     const auto before = history.size();
     history.Shrink(*left);
     m_log->Write(LogEvent::kPressure,
@@ -245,46 +246,47 @@
   }
   m_held_turns.Set(history.bytes());
   if (m_memory->Update(m_loop->now())) {
-    const auto held = [this](pressure::Held kind) {
-      return m_memory->held(kind);
+    const auto held = [this](pressure::MemoryKind kind) {
+      return m_memory->used(kind);
     };
     m_log->Write(LogEvent::kPressure,
                  {{"level", Name(m_memory->level())},
                   {"held", m_memory->total()},
                   {"bound", m_memory->bound()},
-                  {"requests", held(pressure::Held::kRequests)},
-                  {"to_clients", held(pressure::Held::kToClients)},
-                  {"to_servers", held(pressure::Held::kToServers)},
-                  {"turns", held(pressure::Held::kTurns)},
+                  {"requests", held(pressure::MemoryKind::kRequests)},
+                  {"to_clients", held(pressure::MemoryKind::kToClients)},
+                  {"to_servers", held(pressure::MemoryKind::kToServers)},
+                  {"turns", held(pressure::MemoryKind::kTurns)},
                   {"connections", m_clients.size()}});
   }
-  if (m_memory->level() == pressure::Level::kFull) DropStalledReaders();
+  if (m_memory->level() == pressure::PressureLevel::kFull) DropStalledReaders();
   m_loop->After(kMemoryTick, [this] { WatchMemory(); });
 }
 
 void Gateway::DropStalledReaders() {
-  std::vector<ClientConnection*> clients;
-  std::vector<pressure::Reader>  readers;
+  std::vector<ClientConnection*>      clients;
+  std::vector<pressure::ClientBuffer> readers;
   for (const auto& [raw, owned] : m_clients) {
     clients.push_back(raw);
-    readers.push_back(raw->reader());
+    readers.push_back(raw->buffer());
   }
   while (m_memory->IsFull()) {
-    const auto drop = ReaderToDrop(readers, m_thresholds->memory.full_patience);
-    if (drop == pressure::kNobody) return;
+    const auto drop =
+        ChooseClientToDrop(readers, m_thresholds->memory.full_stall_timeout);
+    if (drop == pressure::kNoClient) return;
     m_log->Write(LogEvent::kPressure, {{"reader", "let_go"},
                                        {"waiting", readers[drop].waiting},
                                        {"stalled_ms", readers[drop].stalled}});
-    m_metrics->CountReaderLetGo();
+    m_metrics->CountClientDropped();
     readers[drop] = {};
-    clients[drop]->LetGo();
+    clients[drop]->DropClient();
   }
 }
 
 void Gateway::Tick() {
   m_backends.Sweep();
   m_turns.Sweep();
-  for (TokenDesk& desk : m_desks) desk.Sweep();
+  for (TokenCoordinator& desk : m_desks) desk.Sweep();
   m_limiter.Sweep(m_routes != nullptr &&
                   m_routes->manifest()->workspaces.has_value());
   m_metrics->Set(Gauge::kConnections, static_cast<double>(m_clients.size()));
@@ -301,7 +303,7 @@
 void Gateway::WriteShares() {
   constexpr std::size_t kMost = 3;
   const auto percent = [](double part) { return std::lround(100.0 * part); };
-  for (const auto& user : m_begin_share.TopUsers(kMost)) {
+  for (const auto& user : m_begin_share.TopWorkspaces(kMost)) {
     if (user.margin <= 0) continue;
     m_log->Write(LogEvent::kShare, {{"workspace", user.workspace},
                                     {"part_percent", percent(user.part)},
@@ -313,7 +315,8 @@
   constexpr double kPercent = 100.0;
   m_metrics->Set(Gauge::kSlowServers,
                  static_cast<double>(m_backends.slow_servers()));
-  for (const Backends::PaceChange& change : m_backends.TakePaceChanges()) {
+  for (const Backends::SlowdownChange& change :
+       m_backends.TakeSlowdownChanges()) {
     m_log->Write(
         LogEvent::kPace,
         {{"server", change.server},
@@ -328,8 +331,8 @@
 void Gateway::WriteLogUse() {
   if (m_loop->now() - m_use_written_at < kLogUsePause) return;
   m_use_written_at = m_loop->now();
-  for (RateDesk& desk : m_rate_desks) desk.WriteTurnedAway();
-  m_room.WriteUses();
+  for (RateCoordinator& desk : m_rate_desks) desk.LogRefusals();
+  m_room.WriteUsageLines();
   WriteShares();
   for (const Metrics::LogUse& use : m_metrics->TakeLogUse()) {
     m_log->Write(LogEvent::kLogUse, {{"topic", Name(use.topic)},
@@ -375,11 +378,12 @@
     StopListening();
   CloseIdle();
   const bool served =
-      m_listener < 0 && m_clients.empty() && m_turns.unkept() == 0;
+      m_listener < 0 && m_clients.empty() && m_turns.pending_persists() == 0;
   if (served || m_loop->now() >= m_stop_due) {
-    m_log->Write(LogEvent::kStopped, {{"connections_cut", m_clients.size()},
-                                      {"turns_not_durable", m_turns.unkept()}});
-    for (TokenDesk& desk : m_desks) desk.GiveBackAll();
+    m_log->Write(LogEvent::kStopped,
+                 {{"connections_cut", m_clients.size()},
+                  {"turns_not_durable", m_turns.pending_persists()}});
+    for (TokenCoordinator& desk : m_desks) desk.ReleaseAllUnused();
     m_store.Put(platform::Topic::kNodes, m_settings.node, std::nullopt,
                 m_thresholds->log_timeout,
                 [](const platform::StoreResult<platform::Appended>&) {});
--- a/src/yuccawick/gateway/log_health.cc
+++ b/src/yuccawick/gateway/log_health.cc
@@ -2,7 +2,7 @@
 
 namespace yuccawick::gateway {
 
-void LogHealth::Note(bool answered, std::string_view call) {
+void LogHealth::Observe(bool answered, std::string_view call) {
   m_noted_at = m_loop->now();
   if (answered != m_away) return;
   m_away = !answered;
@@ -11,7 +11,7 @@
                {{"partition", m_name}, {"call", call}});
 }
 
-net::Duration LogHealth::AwayFor() const {
+net::Duration LogHealth::UnavailableFor() const {
   return m_away ? m_loop->now() - m_away_since : 0;
 }
 
--- a/src/yuccawick/gateway/peer_service.cc
+++ b/src/yuccawick/gateway/peer_service.cc
@@ -25,8 +25,8 @@
   return static_cast<ReserveOutcome>(reserved);
 }
 
-void SetAsk(const admission::TurnAsk&         ask,
-            programs::wire::Reserve::Builder* reserve) {
+void SetAsk(const admission::AdmissionRequest& ask,
+            programs::wire::Reserve::Builder*  reserve) {
   if (ask.service.empty()) return;
   reserve->setService(ask.service);
   reserve->setRoute(ask.route);
@@ -38,7 +38,8 @@
   reserve->setLeftMs(ask.left.value_or(0));
 }
 
-void FillRoomUse(const RoomDesk::Uses& uses, PeerMessage::Builder message) {
+void FillRoomUse(const AdmissionService::UsageByService& uses,
+                 PeerMessage::Builder                    message) {
   unsigned size = 0;
   for (const auto& [service, parts] : uses) {
     size += static_cast<unsigned>(parts.size());
@@ -50,15 +51,15 @@
       list[i].setService(service);
       list[i].setPartition(static_cast<std::uint8_t>(partition));
       list[i].setPrograms(static_cast<std::uint32_t>(use.programs));
-      list[i].setPlaces(static_cast<float>(use.places));
+      list[i].setPlaces(static_cast<float>(use.slots));
       list[i].setMemory(use.memory);
       ++i;
     }
   }
 }
 
-admission::TurnAsk GetAsk(programs::wire::Reserve::Reader reserve) {
-  admission::TurnAsk ask;
+admission::AdmissionRequest GetAsk(programs::wire::Reserve::Reader reserve) {
+  admission::AdmissionRequest ask;
   ask.program = reserve.getProgram().cStr();
   ask.service = reserve.getService().cStr();
   ask.partition = ClaimPartitionOf(ask.program);
@@ -67,7 +68,7 @@
   ask.priority = reserve.getPriority();
   ask.under_way = reserve.getContinues();
   ask.prompt_tokens = reserve.getPromptTokens();
-  ask.most_tokens = reserve.getMost();
+  ask.max_tokens = reserve.getMost();
   if (reserve.getHasLeft()) ask.left = reserve.getLeftMs();
   return ask;
 }
@@ -76,8 +77,9 @@
 
 PeerService::PeerService(net::EventLoop* loop, const Thresholds* thresholds,
                          programs::Membership* members, PeerNetwork* network,
-                         std::vector<TokenDesk>* desks, Limiter* limiter,
-                         TurnKeeper* turns, Backends* backends, RoomDesk* room)
+                         std::vector<TokenCoordinator>* desks,
+                         RateLimiter* limiter, TurnStore* turns,
+                         Backends* backends, AdmissionService* room)
     : m_loop(loop),
       m_thresholds(thresholds),
       m_members(members),
@@ -88,12 +90,12 @@
       m_turns(loop, thresholds, members, network, turns),
       m_backends(backends),
       m_room(room) {
-  network->SetService(this);
+  network->SetMessageHandler(this);
 }
 
 // Tokens ---------------------------------------------------------------------
 
-TokenDesk& PeerService::DeskOf(const std::string& program) {
+TokenCoordinator& PeerService::DeskOf(const std::string& program) {
   return (*m_desks)[static_cast<std::size_t>(ClaimPartitionOf(program))];
 }
 
@@ -103,8 +105,8 @@
         done({outcome,
               turn,
               {},
-              DeskOf(turn.program).ServerOf(turn.program),
-              m_room->RetryFor(turn.room)});
+              DeskOf(turn.program).LastServer(turn.program),
+              m_room->RetryDelay(turn.admission_request)});
       });
 }
 
@@ -127,23 +129,26 @@
 // Nodes that are cut from the log for seconds come last: with three of eight
 // cut, all homes that are asked for some partition may be among them, and its
 // programs would be refused as long as the cut lasts.
-std::vector<NodeInfo> PeerService::HomesFor(const std::string& key) const {
-  auto       homes = m_members->HomesOf(key);
+std::vector<NodeInfo> PeerService::RankCoordinators(
+    const std::string& key) const {
+  auto       homes = m_members->RankCoordinators(key);
   // At the end of an outage of all, each hears of the others' return at another
   // time: 30 nodes took themselves for homes at once, and claims that others
   // made beside theirs had to be read by each.
   const bool outage_of_all = m_log_away_at && m_loop->now() - *m_log_away_at <
                                                   m_thresholds->outage_settling;
   if (outage_of_all) return homes;
-  std::stable_partition(
-      homes.begin(), homes.end(),
-      [this](const NodeInfo& node) { return !m_turns.LacksLog(node.name); });
+  std::stable_partition(homes.begin(), homes.end(),
+                        [this](const NodeInfo& node) {
+                          return !m_turns.ReportedLogUnavailable(node.name);
+                        });
   return homes;
 }
 
 void PeerService::ReserveFrom(const TurnBudget& turn, std::size_t rank,
                               Time until, const ReserveDone& done) {
-  const auto homes = HomesFor(ClaimHomeKey(ClaimPartitionOf(turn.program)));
+  const auto homes =
+      RankCoordinators(TokenCoordinatorKey(ClaimPartitionOf(turn.program)));
   if (rank >= std::min(homes.size(), kMaxHomes)) {
     ReserveUnsure(turn, until, done);
     return;
@@ -174,7 +179,7 @@
                          done](std::optional<PeerMessage::Reader> answer) {
     if (answer && answer->isReserved()) {
       const auto outcome = FromWire(answer->getReserved());
-      if (outcome == ReserveOutcome::kUnsure) m_turns.NoteLogAway(name);
+      if (outcome == ReserveOutcome::kUnsure) m_turns.MarkLogUnavailable(name);
       done({outcome, turn, name});
       return;
     }
@@ -191,24 +196,24 @@
     m_given_up.emplace(*number, turn);
     done({ReserveOutcome::kUnsure, turn, name});
   };
-  *number = m_network->Ask(
+  *number = m_network->SendRequest(
       home,
       [&turn](PeerMessage::Builder message) {
         auto reserve = message.initReserve();
         reserve.setProgram(turn.program);
         reserve.setBudget(turn.budget);
-        reserve.setMost(turn.most);
-        SetAsk(turn.room, &reserve);
+        reserve.setMost(turn.max_tokens);
+        SetAsk(turn.admission_request, &reserve);
       },
       m_thresholds->reserve_timeout, answered);
 }
 
 void PeerService::EndTurn(const Reservation& reservation, programs::Tokens used,
                           const std::string& server) {
-  if (reservation.home.empty()) {
+  if (reservation.coordinator.empty()) {
     DeskOf(reservation.turn.program).EndTurn(reservation.turn, used, server);
   } else {
-    TellSettle(reservation.home, reservation.turn, used, server);
+    TellSettle(reservation.coordinator, reservation.turn, used, server);
   }
 }
 
@@ -216,10 +221,10 @@
                              programs::Tokens used, const std::string& server) {
   const NodeInfo* node = m_members->Find(home);
   if (node == nullptr) return;
-  m_network->Tell(*node, [&](PeerMessage::Builder message) {
+  m_network->SendOneWay(*node, [&](PeerMessage::Builder message) {
     auto settle = message.initSettle();
     settle.setProgram(turn.program);
-    settle.setMost(turn.most);
+    settle.setMost(turn.max_tokens);
     settle.setUsed(used);
     settle.setServer(server);
   });
@@ -240,9 +245,9 @@
   if (reserved) TellSettle(node, turn, 0, {});
 }
 
-void PeerService::ServeReserve(PeerNetwork::SessionId session,
-                               PeerMessage::Reader    message,
-                               PeerNetwork::Reply     reply) {
+void PeerService::ServeReserve(PeerNetwork::ConnectionId session,
+                               PeerMessage::Reader       message,
+                               PeerNetwork::Reply        reply) {
   const auto       asked = message.getReserve();
   const TurnBudget turn{asked.getProgram().cStr(), asked.getBudget(),
                         asked.getMost(), GetAsk(asked)};
@@ -266,10 +271,10 @@
 
 void PeerService::AnswerReserve(const TurnBudget& turn, ReserveOutcome outcome,
                                 PeerMessage::Builder answer) {
-  const std::string server = DeskOf(turn.program).ServerOf(turn.program);
+  const std::string server = DeskOf(turn.program).LastServer(turn.program);
   if (outcome == ReserveOutcome::kNoRoom) {
     answer.initRoomRefusal().setRetryMs(
-        static_cast<std::uint32_t>(m_room->RetryFor(turn.room)));
+        static_cast<std::uint32_t>(m_room->RetryDelay(turn.admission_request)));
   } else if (outcome == ReserveOutcome::kStart && !server.empty()) {
     answer.setStartedAt(server);
   } else {
@@ -277,15 +282,15 @@
   }
 }
 
-void PeerService::ServeSettle(PeerNetwork::SessionId session,
-                              PeerMessage::Reader    message) {
+void PeerService::ServeSettle(PeerNetwork::ConnectionId session,
+                              PeerMessage::Reader       message) {
   const auto settle = message.getSettle();
   const auto held = m_reserved.find(session);
   if (held == m_reserved.end()) return;
   const std::string program = settle.getProgram().cStr();
   const auto        turn = std::find_if(
              held->second.begin(), held->second.end(), [&](const TurnBudget& each) {
-        return each.program == program && each.most == settle.getMost();
+        return each.program == program && each.max_tokens == settle.getMost();
       });
   // Not there: it was counted at its most when an earlier session ended.
   if (turn == held->second.end()) return;
@@ -295,18 +300,18 @@
       .EndTurn(ended, settle.getUsed(), settle.getServer().cStr());
 }
 
-void PeerService::OnSessionEnd(PeerNetwork::SessionId session) {
+void PeerService::OnConnectionClosed(PeerNetwork::ConnectionId session) {
   auto node = m_reserved.extract(session);
   if (node.empty()) return;
   // What these turns generate will not be heard of; their most is safe.
   for (const TurnBudget& turn : node.mapped())
-    DeskOf(turn.program).EndTurn(turn, turn.most);
+    DeskOf(turn.program).EndTurn(turn, turn.max_tokens);
 }
 
 // News -----------------------------------------------------------------------
 
-void PeerService::TellNews() {
-  if (m_keeper->reader().AwayFor() > 0) m_log_away_at = m_loop->now();
+void PeerService::SendReports() {
+  if (m_keeper->reader().UnavailableFor() > 0) m_log_away_at = m_loop->now();
   WatchIsolation();
   for (const NodeInfo& node : m_members->TakeDueProbes(m_loop->now())) {
     Probe(node);
@@ -333,16 +338,16 @@
 }
 
 Duration PeerService::LongestOutage() const {
-  Duration longest = m_keeper->reader().AwayFor();
-  for (const TokenDesk& desk : *m_desks) {
-    longest = std::max(longest, desk.LogAwayFor());
+  Duration longest = m_keeper->reader().UnavailableFor();
+  for (const TokenCoordinator& desk : *m_desks) {
+    longest = std::max(longest, desk.LogUnavailableFor());
   }
   return longest;
 }
 
 void PeerService::Probe(const NodeInfo& node) {
   // Any answer will do; the network trusts a node that it hears of.
-  m_network->Ask(
+  m_network->SendRequest(
       node,
       [](PeerMessage::Builder message) {
         message.initFindTurn().setPartition(kNoPartition);
@@ -352,26 +357,26 @@
 
 void PeerService::TellOutage() {
   // A node that has kept no turn lately only notices by the manifest.
-  const bool away = m_keeper->reader().AwayFor() > 0 || !m_log_reachable;
+  const bool away = m_keeper->reader().UnavailableFor() > 0 || !m_log_reachable;
   if (!away || m_loop->now() - m_outage_told_at < m_thresholds->outage_pause) {
     return;
   }
   m_outage_told_at = m_loop->now();
   for (const NodeInfo& node : m_members->Others()) {
-    m_network->Tell(node,
-                    [](PeerMessage::Builder message) { message.setLogAway(); });
+    m_network->SendOneWay(
+        node, [](PeerMessage::Builder message) { message.setLogAway(); });
   }
 }
 
 void PeerService::TellLoads() {
-  auto       news = m_backends->OwnNews();
+  auto       news = m_backends->LocalReport();
   const bool due = m_loop->now() - m_told_at >= m_thresholds->news_anyway;
   if (news == m_told && !due) return;
   m_told = std::move(news);
   m_told_at = m_loop->now();
   for (const NodeInfo& node : m_members->Others()) {
     if (node.zone != m_members->self().zone) continue;
-    m_network->Tell(node, [&](PeerMessage::Builder message) {
+    m_network->SendOneWay(node, [&](PeerMessage::Builder message) {
       auto     list = message.initLoads(static_cast<unsigned>(m_told.size()));
       unsigned i = 0;
       for (const auto& [server, told] : m_told) {
@@ -379,24 +384,24 @@
         list[i].setRequests(static_cast<std::uint16_t>(told.requests));
         list[i].setAnswers(static_cast<float>(told.outcomes.answers));
         list[i].setFailures(static_cast<float>(told.outcomes.failures));
-        list[i].setPace(static_cast<float>(told.pace.factor));
-        list[i].setPaceSamples(static_cast<float>(told.pace.samples));
+        list[i].setPace(static_cast<float>(told.slowdown.factor));
+        list[i].setPaceSamples(static_cast<float>(told.slowdown.samples));
         ++i;
       }
     });
   }
-  m_backends->NewsTold(&m_told);
+  m_backends->OnReportSent(&m_told);
 }
 
 void PeerService::TakeLoads(const std::string&  node,
                             PeerMessage::Reader message) {
-  Backends::News news;
+  Backends::ServerReports news;
   for (const auto& load : message.getLoads()) {
     news[load.getServer().cStr()] = {load.getRequests(),
                                      {load.getAnswers(), load.getFailures()},
                                      {load.getPace(), load.getPaceSamples()}};
   }
-  m_backends->SetPeerNews(node, news);
+  m_backends->SetPeerReport(node, news);
 }
 
 void PeerService::FindOtherHomes() {
@@ -404,14 +409,14 @@
   m_homes_found_at = m_loop->now();
   m_other_homes.clear();
   for (int partition = 0; partition < kClaimPartitions; ++partition) {
-    const auto homes = HomesFor(ClaimHomeKey(partition));
+    const auto homes = RankCoordinators(TokenCoordinatorKey(partition));
     if (homes.empty() || homes.front().name == m_members->self().name) continue;
     m_other_homes.emplace(homes.front().name, homes.front());
   }
 }
 
 void PeerService::TellRoom() {
-  auto uses = m_room->TakeOwnUses();
+  auto uses = m_room->LocalUsageByService();
   if (uses.empty()) return;
   const bool due = m_loop->now() - m_room_told_at >= m_thresholds->news_anyway;
   if (uses == m_room_told && !due) return;
@@ -419,7 +424,7 @@
   m_room_told_at = m_loop->now();
   FindOtherHomes();
   for (const auto& [name, home] : m_other_homes) {
-    m_network->Tell(home, [this](PeerMessage::Builder message) {
+    m_network->SendOneWay(home, [this](PeerMessage::Builder message) {
       FillRoomUse(m_room_told, message);
     });
   }
@@ -427,12 +432,12 @@
 
 void PeerService::TakeRoom(const std::string&  node,
                            PeerMessage::Reader message) {
-  RoomDesk::Uses uses;
+  AdmissionService::UsageByService uses;
   for (const auto& use : message.getRoomUse()) {
     uses[use.getService().cStr()][use.getPartition()] = {
         static_cast<int>(use.getPrograms()), use.getPlaces(), use.getMemory()};
   }
-  m_room->TakeUses(node, uses);
+  m_room->SetPeerUsage(node, uses);
 }
 
 void PeerService::TellCharges() {
@@ -440,11 +445,11 @@
   if (charges.empty()) return;
   FindOtherHomes();
   for (const auto& [name, home] : m_other_homes) {
-    m_network->Tell(home, [&charges](PeerMessage::Builder message) {
+    m_network->SendOneWay(home, [&charges](PeerMessage::Builder message) {
       auto list =
           message.initWorkCharges(static_cast<unsigned>(charges.size()));
       unsigned i = 0;
-      for (const fairness::WorkCharge& charge : charges) {
+      for (const fairness::UsageCharge& charge : charges) {
         list[i].setWorkspace(charge.workspace);
         list[i].setWork(static_cast<float>(charge.work));
         list[i].setTurns(static_cast<float>(charge.turns));
@@ -455,18 +460,18 @@
 }
 
 void PeerService::TakeCharges(PeerMessage::Reader message) {
-  std::vector<fairness::WorkCharge> charges;
+  std::vector<fairness::UsageCharge> charges;
   for (const auto& charge : message.getWorkCharges()) {
     charges.push_back(
         {charge.getWorkspace().cStr(), charge.getWork(), charge.getTurns()});
   }
-  m_room->HearCharges(charges);
+  m_room->MergePeerCharges(charges);
 }
 
-void PeerService::OnMessage(PeerNetwork::SessionId session,
-                            const std::string&     node,
-                            PeerMessage::Reader    message,
-                            PeerNetwork::Reply     reply) {
+void PeerService::OnMessage(PeerNetwork::ConnectionId session,
+                            const std::string&        node,
+                            PeerMessage::Reader       message,
+                            PeerNetwork::Reply        reply) {
   switch (message.which()) {
     case PeerMessage::RESERVE:
       ServeReserve(session, message, std::move(reply));
@@ -475,16 +480,16 @@
       ServeSettle(session, message);
       break;
     case PeerMessage::KEEP_TURN:
-      m_turns.ServeKeep(message, reply);
+      m_turns.ServePersist(message, reply);
       break;
     case PeerMessage::FIND_TURN:
       m_turns.ServeFind(message, reply);
       break;
     case PeerMessage::LOG_AWAY:
-      m_turns.NoteLogAway(node);
+      m_turns.MarkLogUnavailable(node);
       break;
     case PeerMessage::RATE_ASK:
-      m_limiter->ServeAsk(message, reply);
+      m_limiter->ServeRequest(message, reply);
       break;
     case PeerMessage::LOADS:
       TakeLoads(node, message);
--- a/src/yuccawick/gateway/peer_turns.cc
+++ b/src/yuccawick/gateway/peer_turns.cc
@@ -13,7 +13,7 @@
 
 PeerTurns::PeerTurns(net::EventLoop* loop, const Thresholds* thresholds,
                      programs::Membership* members, PeerNetwork* network,
-                     TurnKeeper* turns)
+                     TurnStore* turns)
     : m_loop(loop),
       m_thresholds(thresholds),
       m_members(members),
@@ -22,7 +22,7 @@
   turns->SetPeers(this);
 }
 
-void PeerTurns::NoteLogAway(const std::string& node) {
+void PeerTurns::MarkLogUnavailable(const std::string& node) {
   m_without_log[node] = m_loop->now();
   // This node may not have noticed: it would be asked to append for others.
   m_turns->reader().Probe();
@@ -30,12 +30,13 @@
 
 std::vector<NodeInfo> PeerTurns::WhoReachLog() const {
   auto nodes = m_members->Others();
-  std::erase_if(nodes,
-                [this](const NodeInfo& node) { return LacksLog(node.name); });
+  std::erase_if(nodes, [this](const NodeInfo& node) {
+    return ReportedLogUnavailable(node.name);
+  });
   return nodes;
 }
 
-bool PeerTurns::LacksLog(const std::string& node) const {
+bool PeerTurns::ReportedLogUnavailable(const std::string& node) const {
   const auto said = m_without_log.find(node);
   return said != m_without_log.end() &&
          m_loop->now() - said->second < m_thresholds->outage_memory;
@@ -72,18 +73,18 @@
                             const std::string&                 node,
                             std::optional<PeerMessage::Reader> answer) {
     --*left;
-    std::optional<LogPlace> kept;
+    std::optional<LogPosition> kept;
     if (answer && answer->isTurnKept()) {
       const auto place = answer->getTurnKept();
-      kept = LogPlace{place.getPartition(), place.getOffset(), true};
+      kept = LogPosition{place.getPartition(), place.getOffset(), true};
     } else {
-      NoteLogAway(node);
+      MarkLogUnavailable(node);
     }
     if (!kept && *left > 0) return;
     if (const auto told = std::exchange(*waiting, nullptr)) told(kept);
   };
   for (const NodeInfo& node : nodes) {
-    m_network->Ask(
+    m_network->SendRequest(
         node,
         [&](PeerMessage::Builder message) {
           auto keep = message.initKeepTurn();
@@ -110,7 +111,7 @@
   auto ended = std::make_shared<bool>(false);
   auto found = std::make_shared<Turns>();
   for (const NodeInfo& node : others) {
-    m_network->Ask(
+    m_network->SendRequest(
         node,
         [&](PeerMessage::Builder message) {
           auto find = message.initFindTurn();
@@ -137,7 +138,8 @@
 // read for seconds (8 at 30 Mbit/s, with 11 MB to read). All questions of the
 // zone would wait for it, though the second one knows the answers.
 std::vector<NodeInfo> PeerTurns::ReadersOf(int partition) const {
-  auto readers = m_members->HomesOf("turns " + std::to_string(partition));
+  auto readers =
+      m_members->RankCoordinators("turns " + std::to_string(partition));
   std::erase_if(readers, [this](const NodeInfo& node) {
     return node.zone != m_members->self().zone;
   });
@@ -151,14 +153,14 @@
   return readers;
 }
 
-ReaderIs PeerTurns::AskReader(int partition, const std::string& id,
-                              std::size_t                        rank,
-                              std::function<void(const Lookup&)> done) {
+ReaderLocation PeerTurns::AskReader(int partition, const std::string& id,
+                                    std::size_t                        rank,
+                                    std::function<void(const Lookup&)> done) {
   const auto readers = ReadersOf(partition);
-  if (rank >= readers.size()) return ReaderIs::kNobody;
+  if (rank >= readers.size()) return ReaderLocation::kNobody;
   const NodeInfo& reader = readers[rank];
-  if (reader.name == m_members->self().name) return ReaderIs::kSelf;
-  m_network->Ask(
+  if (reader.name == m_members->self().name) return ReaderLocation::kSelf;
+  m_network->SendRequest(
       reader,
       [&](PeerMessage::Builder message) {
         auto find = message.initFindTurn();
@@ -181,24 +183,24 @@
         }
         done(lookup);
       });
-  return ReaderIs::kAnother;
+  return ReaderLocation::kAnother;
 }
 
-void PeerTurns::ServeKeep(PeerMessage::Reader       message,
-                          const PeerNetwork::Reply& reply) {
+void PeerTurns::ServePersist(PeerMessage::Reader       message,
+                             const PeerNetwork::Reply& reply) {
   const auto keep = message.getKeepTurn();
-  m_turns->KeepFor(programs::Read(keep.getTurn()), keep.getRetentionMs(),
-                   [reply](std::optional<LogPlace> kept) {
-                     reply([kept](PeerMessage::Builder answer) {
-                       if (!kept) {
-                         answer.setTurnNotKept();
-                         return;
-                       }
-                       auto turn_kept = answer.initTurnKept();
-                       turn_kept.setPartition(kept->partition);
-                       turn_kept.setOffset(kept->offset);
-                     });
-                   });
+  m_turns->PersistForPeer(programs::Read(keep.getTurn()), keep.getRetentionMs(),
+                          [reply](std::optional<LogPosition> kept) {
+                            reply([kept](PeerMessage::Builder answer) {
+                              if (!kept) {
+                                answer.setTurnNotKept();
+                                return;
+                              }
+                              auto turn_kept = answer.initTurnKept();
+                              turn_kept.setPartition(kept->partition);
+                              turn_kept.setOffset(kept->offset);
+                            });
+                          });
 }
 
 void PeerTurns::ServeFind(PeerMessage::Reader       message,
@@ -222,7 +224,7 @@
   m_loop->After(m_thresholds->reader_answer,
                 [answer] { answer(ReadState::kReading); });
   TurnReader& reader = m_turns->reader();
-  if (reader.KnowsPlaceOf(id)) {
+  if (reader.KnowsPositionOf(id)) {
     reader.Fetch(id,
                  [this, id, ended] { ended(m_turns->history().Holds(id)); });
   } else {
@@ -232,7 +234,7 @@
 
 void PeerTurns::AnswerFind(const std::string& id, ReadState state,
                            const PeerNetwork::Reply& reply) {
-  const auto line = m_turns->history().Line(id);
+  const auto line = m_turns->history().CollectChain(id);
   reply([&line, state](PeerMessage::Builder answer) {
     auto found = answer.initTurnFound();
     found.setComplete(state == ReadState::kComplete);
--- a/src/yuccawick/gateway/rate_desk.h
+++ b/src/yuccawick/gateway/rate_coordinator.h
@@ -1,4 +1,4 @@
-// Carries out workspaces/rate_home.h for one partition of the rate claims:
+// Carries out workspaces/rate_allocator.h for one partition of the rate claims:
 // appends claims to the platform's log, and reads what others claimed in
 // between.
 //
@@ -15,7 +15,7 @@
 #include "yuccawick/gateway/appender.h"
 #include "yuccawick/gateway/log_health.h"
 #include "yuccawick/gateway/thresholds.h"
-#include "yuccawick/workspaces/rate_home.h"
+#include "yuccawick/workspaces/rate_allocator.h"
 
 namespace yuccawick::gateway {
 
@@ -27,33 +27,34 @@
 inline constexpr int kRatePartitions = 4;
 int                  RatePartitionOf(const std::string& workspace);
 // What the homes of a partition are ranked by.
-std::string          RateHomeKey(int partition);
+std::string          RateCoordinatorKey(int partition);
 
-class RateDesk {
+class RateCoordinator {
  public:
-  using Done = std::function<void(const workspaces::RateAnswer&)>;
+  using Done = std::function<void(const workspaces::RateResponse&)>;
 
-  RateDesk(net::EventLoop* loop, const Thresholds* thresholds,
-           platform::RecordLog* store, Log* log, std::string incarnation,
-           int partition, const workspaces::RateLedger::LimitOf& limit_of,
-           const workspaces::RateWindow& window);
+  RateCoordinator(net::EventLoop* loop, const Thresholds* thresholds,
+                  platform::RecordLog* store, Log* log, std::string incarnation,
+                  int                                        partition,
+                  const workspaces::RateLedger::LimitLookup& limit_of,
+                  const workspaces::RateWindow&              window);
 
   // `done` is called once, within `rate_answer` ms.
-  void Ask(const workspaces::RateAsk& ask, Done done);
+  void RequestTokens(const workspaces::RateRequest& ask, Done done);
   // Makes ready for questions, so that the first does not wait.
   void Open();
   // Forgets what is old, and gives back what was not used.
   void Sweep();
-  void WriteTurnedAway();
+  void LogRefusals();
 
-  workspaces::RateHome& home() { return m_home; }
+  workspaces::RateAllocator& allocator() { return m_home; }
 
  private:
   enum class State : std::uint8_t { kClosed, kOpening, kOpen };
   struct Waiting {
-    std::uint64_t                 number = 0;
-    workspaces::RateHome::Entered entered;
-    Done                          done;
+    std::uint64_t                               number = 0;
+    workspaces::RateAllocator::SubmittedRequest entered;
+    Done                                        done;
   };
   // A claim in the log, behind others that are still to be read.
   struct Claimed {
@@ -82,26 +83,26 @@
   void     ReadUpTo(std::int64_t from, std::int64_t to, const TakeRecord& take,
                     const std::function<void()>& done);
 
-  net::EventLoop*      m_loop;
-  const Thresholds*    m_thresholds;
-  platform::RecordLog* m_store;
-  LogHealth            m_health;
-  Log*                 m_log;
-  std::string          m_incarnation;
-  int                  m_partition;
-  workspaces::RateHome m_home;
-  Appender             m_appender;
-  State                m_state = State::kClosed;
-  std::int64_t         m_next = 0;  // offset after what was taken
-  bool                 m_claiming = false;
-  bool                 m_claim_due = false;  // a timer runs
-  Time                 m_claimed_at = 0;     // sent
+  net::EventLoop*           m_loop;
+  const Thresholds*         m_thresholds;
+  platform::RecordLog*      m_store;
+  LogHealth                 m_health;
+  Log*                      m_log;
+  std::string               m_incarnation;
+  int                       m_partition;
+  workspaces::RateAllocator m_home;
+  Appender                  m_appender;
+  State                     m_state = State::kClosed;
+  std::int64_t              m_next = 0;  // offset after what was taken
+  bool                      m_claiming = false;
+  bool                      m_claim_due = false;  // a timer runs
+  Time                      m_claimed_at = 0;     // sent
   // Records of other homes between the last two claims of this one.
-  std::int64_t         m_others = 0;
-  std::int64_t         m_last_offset = -1;  // of its own last record
-  Time                 m_last_acked = 0;
-  std::uint64_t        m_last_question = 0;
-  std::vector<Waiting> m_waiting;
+  std::int64_t              m_others = 0;
+  std::int64_t              m_last_offset = -1;  // of its own last record
+  Time                      m_last_acked = 0;
+  std::uint64_t             m_last_question = 0;
+  std::vector<Waiting>      m_waiting;
 };
 
 }  // namespace yuccawick::gateway
--- a/src/yuccawick/gateway/token_desk.h
+++ b/src/yuccawick/gateway/token_coordinator.h
@@ -25,11 +25,11 @@
 #include <unordered_map>
 #include <vector>
 
+#include "yuccawick/gateway/admission_service.h"
 #include "yuccawick/gateway/appender.h"
 #include "yuccawick/gateway/log_health.h"
-#include "yuccawick/gateway/room_desk.h"
 #include "yuccawick/gateway/thresholds.h"
-#include "yuccawick/programs/read_pace.h"
+#include "yuccawick/programs/adaptive_read_size.h"
 #include "yuccawick/programs/token_ledger.h"
 
 namespace yuccawick::gateway {
@@ -42,7 +42,7 @@
 inline constexpr int kClaimPartitions = 8;
 int                  ClaimPartitionOf(const std::string& program);
 // What the homes of a partition are ranked by.
-std::string          ClaimHomeKey(int partition);
+std::string          TokenCoordinatorKey(int partition);
 
 enum class ReserveOutcome : std::uint8_t {
   kUnsure,  // the log does not answer
@@ -54,21 +54,23 @@
 std::string_view Name(ReserveOutcome outcome);
 
 struct TurnBudget {
-  std::string        program;
-  programs::Tokens   budget = 0;  // of the program
-  programs::Tokens   most = 0;    // that the turn may generate
-  admission::TurnAsk room = {};   // that it wants at model servers
+  std::string                 program;
+  programs::Tokens            budget = 0;      // of the program
+  programs::Tokens            max_tokens = 0;  // that the turn may generate
+  admission::AdmissionRequest admission_request =
+      {};  // that it wants at model servers
 };
 
-class TokenDesk {
+class TokenCoordinator {
  public:
   using Done = std::function<void(ReserveOutcome)>;
 
   // One desk counts the programs whose claims lie in one partition. `room`:
   // decides which of them may begin; nullptr: all.
-  TokenDesk(net::EventLoop* loop, const Thresholds* thresholds,
-            platform::RecordLog* store, Log* log, std::string incarnation,
-            int partition, RoomDesk* room = nullptr);
+  TokenCoordinator(net::EventLoop* loop, const Thresholds* thresholds,
+                   platform::RecordLog* store, Log* log,
+                   std::string incarnation, int partition,
+                   AdmissionService* room = nullptr);
 
   // `done` is called once, within `home_answer` ms.
   void        Reserve(const TurnBudget& turn, Done done);
@@ -77,13 +79,13 @@
   void        EndTurn(const TurnBudget& turn, programs::Tokens used,
                       const std::string& server = {});
   // The server that ran the program's last turn; empty: not known.
-  std::string ServerOf(const std::string& program) const;
+  std::string LastServer(const std::string& program) const;
   // The node stops: what it was granted and does not need goes back.
-  void        GiveBackAll();
+  void        ReleaseAllUnused();
   // Forgets programs that were idle for long.
   void        Sweep();
 
-  Duration LogAwayFor() const { return m_health.AwayFor(); }
+  Duration LogUnavailableFor() const { return m_health.UnavailableFor(); }
   int      partition() const { return m_partition; }
 
  private:
@@ -151,8 +153,8 @@
   int                                          m_partition;
   programs::TokenLedger                        m_ledger;
   Appender                                     m_appender;
-  RoomDesk*                                    m_room;
-  programs::ReadPace                           m_pace{platform::kPageBytes};
+  AdmissionService*                            m_room;
+  programs::AdaptiveReadSize                   m_pace{platform::kPageBytes};
   std::unordered_map<std::string, Account>     m_accounts;  // by program
   std::unordered_map<std::uint64_t, OpenClaim> m_claims;    // by number
   std::unordered_map<std::string, Time> m_spare;  // programs that may have some
--- a/src/yuccawick/gateway/turn_reader.cc
+++ b/src/yuccawick/gateway/turn_reader.cc
@@ -47,7 +47,7 @@
   ScanState& scan = ScanOf(partition);
   // Probes look for the return of a partition; a question would only wait for a
   // timeout before the peers are asked.
-  if (scan.health->away()) {
+  if (scan.health->unavailable()) {
     done(false);
     return;
   }
@@ -114,7 +114,7 @@
           ReadPart(partition, true);
           return;
         }
-        scan.health->Note(result.has_value(), "read");
+        scan.health->Observe(result.has_value(), "read");
         if (result) {
           TakePage(partition, *result);
         } else {
@@ -127,7 +127,7 @@
 // turn among them may still be owed; after a turn's retention none is.
 void TurnReader::SkipTo(int partition, std::int64_t from, std::int64_t first) {
   ScanState& scan = ScanOf(partition);
-  scan.health->Note(true, "read");
+  scan.health->Observe(true, "read");
   if (first <= from) {
     End(partition, false);
     return;
@@ -236,7 +236,7 @@
     done();
     return;
   }
-  if (Away(place.partition)) {
+  if (IsUnavailable(place.partition)) {
     done();
     return;
   }
@@ -249,7 +249,7 @@
         const bool gone =
             !result && result.error().failure == StoreFailure::kExpired;
         ScanOf(place.partition)
-            .health->Note(result.has_value() || gone, "fetch");
+            .health->Observe(result.has_value() || gone, "fetch");
         if (gone) m_places.erase(id);
         if (!result || result->records.empty()) {
           done();
@@ -262,14 +262,14 @@
 
 // Health ---------------------------------------------------------------------
 
-bool TurnReader::Away(int partition) const {
-  return m_scans[static_cast<std::size_t>(partition)].health->away();
+bool TurnReader::IsUnavailable(int partition) const {
+  return m_scans[static_cast<std::size_t>(partition)].health->unavailable();
 }
 
-Duration TurnReader::AwayFor() const {
-  Duration least = m_scans.front().health->AwayFor();
+Duration TurnReader::UnavailableFor() const {
+  Duration least = m_scans.front().health->UnavailableFor();
   for (const ScanState& scan : m_scans) {
-    least = std::min(least, scan.health->AwayFor());
+    least = std::min(least, scan.health->UnavailableFor());
   }
   return least;
 }
@@ -297,7 +297,7 @@
                   const bool gone = !result && result.error().failure ==
                                                    StoreFailure::kExpired;
                   if (result) scan.probed_end = result->end;
-                  scan.health->Note(result.has_value() || gone, "probe");
+                  scan.health->Observe(result.has_value() || gone, "probe");
                 });
 }
 
@@ -311,7 +311,7 @@
     return entry.second.place.until < now;
   });
   for (int i = 0; i < kTurnPartitions; ++i) {
-    if (Away(i)) ProbePartition(i);
+    if (IsUnavailable(i)) ProbePartition(i);
   }
 }
 
--- a/src/yuccawick/gateway/turn_reader.h
+++ b/src/yuccawick/gateway/turn_reader.h
@@ -25,7 +25,7 @@
 #include "platform/store.h"
 #include "yuccawick/gateway/log_health.h"
 #include "yuccawick/gateway/thresholds.h"
-#include "yuccawick/programs/read_pace.h"
+#include "yuccawick/programs/adaptive_read_size.h"
 #include "yuccawick/programs/record.h"
 #include "yuccawick/programs/scan_plan.h"
 #include "yuccawick/programs/turn_history.h"
@@ -54,16 +54,16 @@
   using ScanDone = std::function<void(bool)>;
   void Scan(int partition, ScanDone done, std::string wanted = {});
   // Whether it was read before, so that Fetch() may find it.
-  bool KnowsPlaceOf(const std::string& id) const {
+  bool KnowsPositionOf(const std::string& id) const {
     return m_places.contains(id);
   }
   // `done` once the turn is in memory, or could not be read.
   void Fetch(const std::string& id, const std::function<void()>& done);
 
   LogHealth* health(int partition) { return ScanOf(partition).health.get(); }
-  bool       Away(int partition) const;
+  bool       IsUnavailable(int partition) const;
   // How long no partition has answered this node, in ms; 0: one does.
-  Duration   AwayFor() const;
+  Duration   UnavailableFor() const;
   // How long turns read are kept, in ms: the longest of the routes.
   void       SetRetention(Duration retention) { m_retention = retention; }
   Duration   retention() const { return m_retention; }
@@ -122,15 +122,15 @@
   void FetchPart(const std::string& id, const Place& place, std::size_t part,
                  const std::function<void()>& done);
 
-  net::EventLoop*        m_loop;
-  const Thresholds*      m_thresholds;
-  platform::RecordLog*   m_store;
-  Log*                   m_log;
-  programs::TurnHistory* m_history;
-  programs::ReadPace     m_pace{platform::kPageBytes};     // of all scans
-  std::vector<ScanState> m_scans;                          // by partition
-  std::unordered_map<std::string, Place>        m_places;  // by turn
-  std::map<std::pair<int, std::string>, Pieces> m_pieces;  // partition, turn
+  net::EventLoop*            m_loop;
+  const Thresholds*          m_thresholds;
+  platform::RecordLog*       m_store;
+  Log*                       m_log;
+  programs::TurnHistory*     m_history;
+  programs::AdaptiveReadSize m_pace{platform::kPageBytes};  // of all scans
+  std::vector<ScanState>     m_scans;                       // by partition
+  std::unordered_map<std::string, Place>        m_places;   // by turn
+  std::map<std::pair<int, std::string>, Pieces> m_pieces;   // partition, turn
   Duration m_retention = 60'000;  // until a manifest says
 };
 
--- a/src/yuccawick/gateway/turn_keeper.cc
+++ b/src/yuccawick/gateway/turn_store.cc
@@ -1,4 +1,4 @@
-#include "yuccawick/gateway/turn_keeper.h"
+#include "yuccawick/gateway/turn_store.h"
 
 #include <xxhash.h>
 
@@ -21,9 +21,9 @@
 
 }  // namespace
 
-TurnKeeper::TurnKeeper(net::EventLoop* loop, const Thresholds* thresholds,
-                       platform::RecordLog* store, Log* log, Metrics* metrics,
-                       const std::string& incarnation)
+TurnStore::TurnStore(net::EventLoop* loop, const Thresholds* thresholds,
+                     platform::RecordLog* store, Log* log, Metrics* metrics,
+                     const std::string& incarnation)
     : m_loop(loop),
       m_thresholds(thresholds),
       m_log(log),
@@ -35,27 +35,27 @@
   }
 }
 
-void TurnKeeper::Sweep() {
+void TurnStore::Sweep() {
   m_history.Expire(m_loop->now());
   m_reader.Sweep();
 }
 
 // Finding --------------------------------------------------------------------
 
-void TurnKeeper::Find(const std::string& id, const std::string& program,
-                      FindDone done) {
+void TurnStore::Find(const std::string& id, const std::string& program,
+                     FindDone done) {
   // A turn usually continues one of its own program, whose partition is known.
   Search({id, PartitionOf(program), std::move(done)});
 }
 
-void TurnKeeper::Search(const Question& question) {
+void TurnStore::Search(const Question& question) {
   const std::string missing = m_history.Missing(question.id);
   if (missing.empty()) {
     question.done(FindOutcome::kFound);
   } else if (m_history.Holds(missing)) {
     // Turns that name each other, because a client used an id twice.
     question.done(FindOutcome::kUnsure);
-  } else if (m_reader.KnowsPlaceOf(missing)) {
+  } else if (m_reader.KnowsPositionOf(missing)) {
     m_reader.Fetch(missing, [this, question, missing] {
       if (m_history.Holds(missing)) {
         Search(question);
@@ -68,8 +68,8 @@
   }
 }
 
-void TurnKeeper::SearchOwnPartition(const Question&    question,
-                                    const std::string& missing) {
+void TurnStore::SearchOwnPartition(const Question&    question,
+                                   const std::string& missing) {
   const auto looked = [this, question, missing](bool complete) {
     if (m_history.Missing(question.id) == missing) {
       SearchOthers(question, missing, complete);
@@ -80,8 +80,8 @@
   LookIn({question.partition, missing, looked});
 }
 
-void TurnKeeper::SearchOthers(const Question&    question,
-                              const std::string& missing, bool first_complete) {
+void TurnStore::SearchOthers(const Question&    question,
+                             const std::string& missing, bool first_complete) {
   auto       open = std::make_shared<int>(kTurnPartitions - 1);
   auto       complete = std::make_shared<bool>(first_complete);
   const auto end = [this, question, missing, complete] {
@@ -104,8 +104,8 @@
 
 // Only the log can rule a turn out, and only the one that was asked for: an
 // ancestor that the log does not have any more says nothing about it.
-void TurnKeeper::EndSearch(const Question& question, const std::string& missing,
-                           bool complete) {
+void TurnStore::EndSearch(const Question& question, const std::string& missing,
+                          bool complete) {
   m_log->Write(LogEvent::kScan, {{"asked_for", question.id},
                                  {"missing", missing},
                                  {"complete", complete ? "yes" : "no"}});
@@ -116,8 +116,7 @@
   }
 }
 
-void TurnKeeper::AskPeers(const Question&    question,
-                          const std::string& missing) {
+void TurnStore::AskPeers(const Question& question, const std::string& missing) {
   m_peers->AskForTurn(missing,
                       [this, question, missing](const TurnPeers::Turns& turns) {
                         TakeTurns(turns);
@@ -129,35 +128,35 @@
                       });
 }
 
-void TurnKeeper::TakeTurns(const std::vector<programs::Turn>& turns) {
+void TurnStore::TakeTurns(const std::vector<programs::Turn>& turns) {
   for (const programs::Turn& turn : turns) {
     m_history.Add(turn, m_loop->now(), m_reader.retention() + kRetentionSlack);
   }
 }
 
-void TurnKeeper::LookIn(const Look& look) {
+void TurnStore::LookIn(const Look& look) {
   const auto answered = [this, look](const TurnPeers::Lookup& lookup) {
     TakeLookup(look, lookup);
   };
   switch (m_peers->AskReader(look.partition, look.id, look.rank, answered)) {
-    case ReaderIs::kAnother:
+    case ReaderLocation::kAnother:
       break;
-    case ReaderIs::kSelf:
+    case ReaderLocation::kSelf:
       ScanHere(look);
       break;
-    case ReaderIs::kNobody:
+    case ReaderLocation::kNobody:
       look.done(false);
       break;
   }
 }
 
-void TurnKeeper::LookAtNext(Look look) {
+void TurnStore::LookAtNext(Look look) {
   ++look.rank;
   look.tries = kReaderTries;
   LookIn(look);
 }
 
-void TurnKeeper::TakeLookup(const Look& look, const TurnPeers::Lookup& lookup) {
+void TurnStore::TakeLookup(const Look& look, const TurnPeers::Lookup& lookup) {
   TakeTurns(lookup.turns);
   if (lookup.answered && (lookup.complete || m_history.Holds(look.id))) {
     look.done(lookup.complete);
@@ -170,7 +169,7 @@
   }
 }
 
-void TurnKeeper::ScanHere(const Look& look) {
+void TurnStore::ScanHere(const Look& look) {
   m_reader.Scan(
       look.partition,
       [this, look](bool complete) {
@@ -185,23 +184,24 @@
 
 // Keeping --------------------------------------------------------------------
 
-bool TurnKeeper::MayKeep() const {
-  return m_reader.AwayFor() == 0 || m_peers->AnyReachesLog();
+bool TurnStore::CanPersist() const {
+  return m_reader.UnavailableFor() == 0 || m_peers->AnyReachesLog();
 }
 
-int TurnKeeper::PlaceFrom(int first) const {
+int TurnStore::PlaceFrom(int first) const {
   for (int i = 0; i < kTurnPartitions; ++i) {
     const int partition = (first + i) % kTurnPartitions;
-    if (!m_reader.Away(partition)) return partition;
+    if (!m_reader.IsUnavailable(partition)) return partition;
   }
   return first;
 }
 
-void TurnKeeper::Append(const programs::Turn& turn, int partition,
-                        const Appender::Wanted& wanted, PlacedDone done) {
+void TurnStore::Append(const programs::Turn& turn, int partition,
+                       const Appender::Wanted& wanted, PlacedDone done) {
   const auto records = programs::EncodeTurn(turn);
   auto       left = std::make_shared<std::size_t>(records.size());
-  auto kept = std::make_shared<std::optional<LogPlace>>(LogPlace{partition});
+  auto       kept =
+      std::make_shared<std::optional<LogPosition>>(LogPosition{partition});
   const auto appended =
       [left, kept, done = std::move(done)](const Appender::Result& result) {
         if (!result) {
@@ -217,42 +217,42 @@
   }
 }
 
-void TurnKeeper::Close(const KeepingPtr& keeping) {
+void TurnStore::Close(const KeepingPtr& keeping) {
   if (!std::exchange(keeping->open, false)) return;
   --m_unkept;
   keeping->done = nullptr;
 }
 
-void TurnKeeper::Settle(const KeepingPtr& keeping, const LogPlace& kept) {
+void TurnStore::Settle(const KeepingPtr& keeping, const LogPosition& kept) {
   if (!keeping->open) return;
-  const KeepDone done = std::move(keeping->done);
+  const PersistDone done = std::move(keeping->done);
   Close(keeping);
   m_history.Add(keeping->turn, m_loop->now(),
                 keeping->retention + kRetentionSlack);
-  m_metrics->CountTurnKept(kept.by_peer);
-  m_metrics->ObserveTurnKept(
+  m_metrics->CountTurnPersisted(kept.by_peer);
+  m_metrics->ObserveTurnPersisted(
       static_cast<double>(m_loop->now() - keeping->began) / kMillisPerSecond);
   done(kept);
 }
 
-void TurnKeeper::Send(const KeepingPtr& keeping) {
+void TurnStore::Send(const KeepingPtr& keeping) {
   keeping->tried.insert(keeping->partition);
   Append(
       keeping->turn, keeping->partition, [keeping] { return keeping->open; },
-      [this, keeping](std::optional<LogPlace> kept) {
+      [this, keeping](std::optional<LogPosition> kept) {
         if (kept) Settle(keeping, *kept);
       });
 }
 
-void TurnKeeper::Keep(const programs::Turn& turn, Duration retention,
-                      Time until, KeepDone done) {
+void TurnStore::Persist(const programs::Turn& turn, Duration retention,
+                        Time until, PersistDone done) {
   const int  place = PlaceFrom(PartitionOf(turn.program));
   const Time now = m_loop->now();
   const auto keeping = std::make_shared<Keeping>(
       Keeping{turn, retention, now, place, {}, 0, true, std::move(done)});
   ++m_unkept;
   Send(keeping);
-  m_loop->After(m_reader.Away(place) ? 0 : m_thresholds->log_patience,
+  m_loop->After(m_reader.IsUnavailable(place) ? 0 : m_thresholds->log_patience,
                 [this, keeping] { TryElsewhere(keeping); });
   m_loop->After(std::max<Duration>(0, until - now),
                 [this, keeping] { Close(keeping); });
@@ -262,13 +262,14 @@
 // one by one, and that this one does is known only after a timeout: so the next
 // one is taken whatever is known of this one. A turn that lies in the log twice
 // is the same turn.
-void TurnKeeper::TryElsewhere(const KeepingPtr& keeping) {
+void TurnStore::TryElsewhere(const KeepingPtr& keeping) {
   if (!keeping->open) return;
   const auto again = [this, keeping](Duration pause) {
     m_loop->After(pause, [this, keeping] { TryElsewhere(keeping); });
   };
   const int  next = PlaceFrom((keeping->partition + 1) % kTurnPartitions);
-  const bool another = !m_reader.Away(next) && !keeping->tried.contains(next);
+  const bool another =
+      !m_reader.IsUnavailable(next) && !keeping->tried.contains(next);
   if (another) {
     keeping->partition = next;
     Send(keeping);
@@ -278,7 +279,7 @@
     return;
   }
   m_peers->AppendFor(keeping->turn, keeping->retention, keeping->relays++,
-                     [this, keeping, again](std::optional<LogPlace> place) {
+                     [this, keeping, again](std::optional<LogPosition> place) {
                        if (place) {
                          Settle(keeping, *place);
                        } else {
@@ -287,10 +288,10 @@
                      });
 }
 
-void TurnKeeper::KeepFor(const programs::Turn& turn, Duration retention,
-                         TurnPeers::AppendDone done) {
+void TurnStore::PersistForPeer(const programs::Turn& turn, Duration retention,
+                               TurnPeers::AppendDone done) {
   auto       waiting = std::make_shared<TurnPeers::AppendDone>(std::move(done));
-  const auto answer = [waiting](std::optional<LogPlace> kept) {
+  const auto answer = [waiting](std::optional<LogPosition> kept) {
     if (const auto told = std::exchange(*waiting, nullptr)) told(kept);
   };
   // An asker that hears nothing would take this node for lost.
@@ -298,7 +299,7 @@
   Append(
       turn, PlaceFrom(PartitionOf(turn.program)),
       [waiting] { return *waiting != nullptr; },
-      [this, turn, retention, answer](std::optional<LogPlace> kept) {
+      [this, turn, retention, answer](std::optional<LogPosition> kept) {
         if (kept) {
           m_history.Add(turn, m_loop->now(), retention + kRetentionSlack);
         }
--- a/src/yuccawick/programs/membership.h
+++ b/src/yuccawick/programs/membership.h
@@ -23,7 +23,7 @@
 using net::Time;
 
 // Of a node that does not say: a whole core.
-inline constexpr std::uint32_t kUsualCapacity = 1000;
+inline constexpr std::uint32_t kDefaultMillicores = 1000;
 
 struct NodeInfo {
   std::string   name;         // of the VM; stays over restarts
@@ -31,7 +31,7 @@
   net::Endpoint address;      // for other nodes
   std::string   zone;
   // What the node can carry against others, in thousandths of a core.
-  std::uint32_t capacity = kUsualCapacity;
+  std::uint32_t millicores = kDefaultMillicores;
 
   bool operator==(const NodeInfo&) const = default;
 };
@@ -52,9 +52,9 @@
   std::vector<NodeInfo> TakeDueProbes(Time now);
   // The nodes that are not suspected, self included, the home of the key first
   // and then who takes its place if it cannot serve.
-  std::vector<NodeInfo> HomesOf(std::string_view key) const;
+  std::vector<NodeInfo> RankCoordinators(std::string_view key) const;
   // The same with suspected nodes in their places.
-  std::vector<NodeInfo> RankedFor(std::string_view key) const;
+  std::vector<NodeInfo> RankAllNodes(std::string_view key) const;
   bool                  Suspected(const std::string& name) const {
                      return m_suspects.contains(name);
   }
--- a/src/yuccawick/programs/record.cc
+++ b/src/yuccawick/programs/record.cc
@@ -167,7 +167,7 @@
     builder.setIncarnation(node.incarnation);
     builder.setAddress(node.address.Text());
     builder.setZone(node.zone);
-    builder.setCapacity(node.capacity);
+    builder.setCapacity(node.millicores);
   });
 }
 
@@ -179,7 +179,7 @@
     const auto capacity = reader.getCapacity();
     return NodeInfo{name, Text(reader.getIncarnation()),
                     address.value_or(net::Endpoint{}), Text(reader.getZone()),
-                    capacity > 0 ? capacity : kUsualCapacity};
+                    capacity > 0 ? capacity : kDefaultMillicores};
   });
   return node && node->address.port != 0 ? node : std::nullopt;
 }
--- a/src/yuccawick/traffic/placement.cc
+++ b/src/yuccawick/traffic/placement.cc
@@ -18,9 +18,11 @@
 }
 
 double PaceCounted(double pace, const PlacementWeights& weights) {
-  const double tolerance = weights.pace_tolerance;
-  if (pace > tolerance) return std::pow(pace / tolerance, weights.pace);
-  if (pace * tolerance < 1.0) return std::pow(pace * tolerance, weights.pace);
+  const double tolerance = weights.slowdown_tolerance;
+  if (pace > tolerance)
+    return std::pow(pace / tolerance, weights.slowdown_exponent);
+  if (pace * tolerance < 1.0)
+    return std::pow(pace * tolerance, weights.slowdown_exponent);
   return 1.0;
 }
 
@@ -92,7 +94,7 @@
       if (!candidate.holds_prefix)
         turn += ReadingCost(candidate.prompt_tokens, candidate.memory_part,
                             m_weights);
-      double cost = PaceCounted(candidate.pace, m_weights) * turn;
+      double cost = PaceCounted(candidate.slowdown, m_weights) * turn;
       cost += std::min(1.0, load);
       if (!candidate.same_zone) cost += m_weights.cross_zone;
       return cost + Failing(candidate, m_weights);
@@ -115,8 +117,8 @@
                     std::max(weights.cold_prefix, weights.cold_most));
 }
 
-void LeaveSome(std::vector<Candidate>* candidates, const Sampling& sampling,
-               std::mt19937_64* random) {
+void SampleCandidates(std::vector<Candidate>* candidates,
+                      const Sampling& sampling, std::mt19937_64* random) {
   if (static_cast<std::int64_t>(candidates->size()) <= sampling.few) return;
   std::bernoulli_distribution stays(sampling.share);
   std::vector<Candidate>      some;
--- a/src/yuccawick/workspaces/rate_home.cc
+++ b/src/yuccawick/workspaces/rate_allocator.cc
@@ -1,4 +1,4 @@
-#include "yuccawick/workspaces/rate_home.h"
+#include "yuccawick/workspaces/rate_allocator.h"
 
 #include <algorithm>
 #include <cmath>
@@ -42,13 +42,13 @@
 
 }  // namespace
 
-void ProgramBook::Note(ProgramHash program, std::int64_t taken, Time now) {
+void ProgramDemand::Observe(ProgramHash program, std::int64_t taken, Time now) {
   Program& noted = m_programs[program];
   noted.seen = now;
   noted.taken += taken;
 }
 
-double ProgramBook::Committed(Time now) {
+double ProgramDemand::Committed(Time now) {
   if (m_committed_at >= 0 && now - m_committed_at < kCommittedAge) {
     return m_committed;
   }
@@ -63,7 +63,7 @@
   return m_committed;
 }
 
-void ProgramBook::Sweep(Time now, bool whole) {
+void ProgramDemand::Sweep(Time now, bool whole) {
   std::erase_if(m_programs, [this, now, whole](const auto& entry) {
     if (now - entry.second.seen < kEndedAfter) return false;
     if (!whole) return true;
@@ -75,37 +75,37 @@
   });
 }
 
-RateHome::State& RateHome::StateOf(const std::string& workspace) {
+RateAllocator::State& RateAllocator::StateOf(const std::string& workspace) {
   return m_states.try_emplace(workspace, &m_typical).first->second;
 }
 
-double RateHome::LongRun(const RateLimit& limit) const {
+double RateAllocator::LongRun(const RateLimit& limit) const {
   return Allowance(limit, m_window) * kMillisPerSecond /
          static_cast<double>(m_ledger.Span());
 }
 
-std::int64_t RateHome::Extra(const std::string& workspace,
-                             const RateLimit& limit, Time now) const {
-  const double left = m_ledger.Left(workspace, now);
+std::int64_t RateAllocator::Extra(const std::string& workspace,
+                                  const RateLimit& limit, Time now) const {
+  const double left = m_ledger.Remaining(workspace, now);
   if (left < kPlentyShare * Allowance(limit, m_window)) return 0;
   return static_cast<std::int64_t>(std::min(kMostExtra, kExtraShare * left));
 }
 
-bool RateHome::IsScarce(const std::string& workspace, const RateLimit& limit,
-                        Time now) const {
-  return m_ledger.Left(workspace, now) <
+bool RateAllocator::IsScarce(const std::string& workspace,
+                             const RateLimit& limit, Time now) const {
+  return m_ledger.Remaining(workspace, now) <
          kScarceShare * Allowance(limit, m_window);
 }
 
-double RateHome::Free(const std::string& workspace, State* state,
-                      Time now) const {
-  return m_ledger.Left(workspace, now + kLookAhead) +
+double RateAllocator::Free(const std::string& workspace, State* state,
+                           Time now) const {
+  return m_ledger.Remaining(workspace, now + kLookAhead) +
          static_cast<double>(state->pool.Available(now)) -
          state->programs.Committed(now);
 }
 
-Duration RateHome::NextReturn(State* state, const RateLimit& limit,
-                              Time now) const {
+Duration RateAllocator::NextReturn(State* state, const RateLimit& limit,
+                                   Time now) const {
   const double   pause = m_typical / LongRun(limit) * kMillisPerSecond;
   const Duration wait =
       std::max(state->next_return, now) + std::llround(pause) - now;
@@ -113,17 +113,18 @@
   return std::clamp<Duration>(wait, 1, kLongestReturn);
 }
 
-RateHome::Entered RateHome::Enter(const RateAsk& ask, Time now) {
-  Entered    entered{ask.workspace, ask.want, ask.waiting, false};
-  const auto limit = m_limit_of(ask.workspace);
+RateAllocator::SubmittedRequest RateAllocator::Submit(const RateRequest& ask,
+                                                      Time               now) {
+  SubmittedRequest entered{ask.workspace, ask.want, ask.waiting, false};
+  const auto       limit = m_limit_of(ask.workspace);
   if (!limit) {
     entered.need += static_cast<int>(ask.waiting.size());
     return entered;
   }
   State& state = StateOf(ask.workspace);
   state.used = now;
-  for (const RateAsk::Step& step : ask.steps) {
-    state.programs.Note(step.program, step.tokens, now);
+  for (const RateRequest::Step& step : ask.steps) {
+    state.programs.Observe(step.program, step.tokens, now);
   }
   entered.may_go_on.clear();
   // A limit may be smaller than what a program usually needs.
@@ -133,13 +134,13 @@
   for (const ProgramHash program : ask.waiting) {
     if (!state.programs.Knows(program)) {
       if (free < needed) {
-        entered.turned_away = true;
+        entered.refused = true;
         ++state.turned_away;
         continue;
       }
       free -= needed;
     }
-    state.programs.Note(program, 0, now);
+    state.programs.Observe(program, 0, now);
     entered.may_go_on.push_back(program);
   }
   entered.need += static_cast<int>(entered.may_go_on.size());
@@ -148,8 +149,9 @@
   return entered;
 }
 
-std::optional<RateAnswer> RateHome::Answer(const Entered& entered, Time now) {
-  RateAnswer answer;
+std::optional<RateResponse> RateAllocator::TryRespond(
+    const SubmittedRequest& entered, Time now) {
+  RateResponse answer;
   answer.may_go_on = entered.may_go_on;
   const auto limit = m_limit_of(entered.workspace);
   if (!limit) {
@@ -159,8 +161,8 @@
   }
   State& state = StateOf(entered.workspace);
   answer.scarce = IsScarce(entered.workspace, *limit, now);
-  if (entered.turned_away) {
-    answer.begin_retry = NextReturn(&state, *limit, now);
+  if (entered.refused) {
+    answer.new_program_retry_delay = NextReturn(&state, *limit, now);
   }
   if (entered.need == 0) return answer;
   const auto extra = Extra(entered.workspace, *limit, now);
@@ -176,22 +178,23 @@
     answer.origin = batch.origin;
     return answer;
   }
-  if (m_ledger.Left(entered.workspace, now) >= 1) {
+  if (m_ledger.Remaining(entered.workspace, now) >= 1) {
     m_due.insert(entered.workspace);
     return std::nullopt;
   }
   ++state.turned_away;
   state.refused_at = now;
-  answer.retry = std::min(
-      kLongestReturn,
-      m_ledger.UntilLeft(entered.workspace, 1, now).value_or(kLongestReturn));
-  answer.begin_retry = std::max(answer.begin_retry, answer.retry);
+  answer.retry_delay = std::min(
+      kLongestReturn, m_ledger.TimeUntilRemaining(entered.workspace, 1, now)
+                          .value_or(kLongestReturn));
+  answer.new_program_retry_delay =
+      std::max(answer.new_program_retry_delay, answer.retry_delay);
   return answer;
 }
 
-void RateHome::TakeUnused(const std::string& workspace, State* state, Time now,
-                          std::vector<RateEntry>* entries) {
-  for (const TokenPool::Batch& ended : state->pool.TakeEnded(now)) {
+void RateAllocator::TakeUnused(const std::string& workspace, State* state,
+                               Time now, std::vector<RateEntry>* entries) {
+  for (const TokenPool::Batch& ended : state->pool.TakeExpired(now)) {
     entries->push_back({workspace, -ended.tokens, ended.origin});
   }
   for (const RateEntry& told : std::exchange(state->unused, {})) {
@@ -199,9 +202,9 @@
   }
 }
 
-std::int64_t RateHome::Lacking(const std::string& workspace, State* state,
-                               const RateLimit& limit, Duration pause,
-                               Time now) const {
+std::int64_t RateAllocator::Lacking(const std::string& workspace, State* state,
+                                    const RateLimit& limit, Duration pause,
+                                    Time now) const {
   const auto   pool = static_cast<double>(state->pool.Available(now));
   const double ahead = state->demand.PerSecond(now) *
                        (kAhead + static_cast<double>(pause)) / kMillisPerSecond;
@@ -210,10 +213,10 @@
   const double wish = std::max(1.0, std::ceil(ahead - pool)) +
                       static_cast<double>(Extra(workspace, limit, now));
   return static_cast<std::int64_t>(
-      std::floor(std::min(m_ledger.Left(workspace, now), wish)));
+      std::floor(std::min(m_ledger.Remaining(workspace, now), wish)));
 }
 
-std::vector<RateEntry> RateHome::NextClaim(Duration pause, Time now) {
+std::vector<RateEntry> RateAllocator::NextClaim(Duration pause, Time now) {
   std::vector<RateEntry> claims;
   // First, so that what is given back is there for the claims behind it.
   std::vector<RateEntry> entries;
@@ -229,7 +232,7 @@
   return entries;
 }
 
-std::vector<RateEntry> RateHome::NextReturns(Time now) {
+std::vector<RateEntry> RateAllocator::NextReleases(Time now) {
   std::vector<RateEntry> entries;
   for (auto& [workspace, state] : m_states) {
     TakeUnused(workspace, &state, now, &entries);
@@ -237,18 +240,19 @@
   return entries;
 }
 
-void RateHome::Granted(const LoggedRate& claim, Time sent, Time now) {
-  const Time until = sent + kRateHold;
+void RateAllocator::OnGranted(const LoggedRate& claim, Time sent, Time now) {
+  const Time until = sent + kRateTokenLifetime;
   for (const RateEntry& entry : claim.record.entries) {
     if (entry.tokens < 0 || !m_limit_of(entry.workspace)) continue;
-    const double lacking = std::max(0.0, -m_ledger.Left(entry.workspace, now));
-    const auto   granted =
+    const double lacking =
+        std::max(0.0, -m_ledger.Remaining(entry.workspace, now));
+    const auto granted =
         entry.tokens - static_cast<std::int64_t>(std::ceil(lacking));
     StateOf(entry.workspace).pool.Add({granted, until, claim.offset});
   }
 }
 
-void RateHome::Sweep(Time now) {
+void RateAllocator::Sweep(Time now) {
   m_ledger.Sweep(now);
   for (auto& [workspace, state] : m_states) {
     state.programs.Sweep(now, now - state.refused_at > kWholeAfter);
@@ -258,15 +262,16 @@
   });
 }
 
-std::vector<RateHome::Use> RateHome::TakeTurnedAway(Time now) {
-  std::vector<Use> uses;
+std::vector<RateAllocator::RefusalReport> RateAllocator::TakeRefusalReports(
+    Time now) {
+  std::vector<RefusalReport> uses;
   for (auto& [workspace, state] : m_states) {
     const auto limit = m_limit_of(workspace);
     if (!limit || state.turned_away == 0) continue;
-    uses.push_back({workspace, state.demand.PerSecond(now),
-                    Allowance(*limit, m_window), m_ledger.Left(workspace, now),
-                    state.pool.Available(now), m_typical,
-                    std::exchange(state.turned_away, 0)});
+    uses.push_back(
+        {workspace, state.demand.PerSecond(now), Allowance(*limit, m_window),
+         m_ledger.Remaining(workspace, now), state.pool.Available(now),
+         m_typical, std::exchange(state.turned_away, 0)});
   }
   return uses;
 }
--- a/src/yuccawick/workspaces/rate_ledger.h
+++ b/src/yuccawick/workspaces/rate_ledger.h
@@ -23,9 +23,9 @@
 //     that its claimer sent is the least that has passed since. So after a
 //     restart of all nodes nobody waits for a window to pass.
 //
-// Tokens are good for kRateHold from when their claim was sent. What is used
-// within a window was claimed within it or that long before, so that claims are
-// counted for that much longer.
+// Tokens are good for kRateTokenLifetime from when their claim was sent. What
+// is used within a window was claimed within it or that long before, so that
+// claims are counted for that much longer.
 #pragma once
 
 #include <cstdint>
@@ -46,7 +46,7 @@
 
 // For how long a token may be held, in ms: a home claims for what it expects
 // within some calls of the log, and a node asks for the next few requests.
-inline constexpr Duration kRateHold = 1000;
+inline constexpr Duration kRateTokenLifetime = 1000;
 
 // How the operator measures limits.
 struct RateWindow {
@@ -57,9 +57,9 @@
   double   slack = 0;
 };
 
-// Requests that may be claimed within a window and kRateHold. Most of what is
-// tolerated is used: one program of a small workspace is as much as its limit.
-// The rest is for requests that are sent twice.
+// Requests that may be claimed within a window and kRateTokenLifetime. Most of
+// what is tolerated is used: one program of a small workspace is as much as its
+// limit. The rest is for requests that are sent twice.
 double Allowance(const RateLimit& limit, const RateWindow& window);
 
 struct RateEntry {
@@ -90,23 +90,23 @@
 
 class RateLedger {
  public:
-  using LimitOf =
+  using LimitLookup =
       std::function<std::optional<RateLimit>(const std::string& workspace)>;
-  RateLedger(LimitOf limit_of, const RateWindow& window)
+  RateLedger(LimitLookup limit_of, const RateWindow& window)
       : m_limit_of(std::move(limit_of)), m_window(window) {}
 
   // Forgets everything, and counts what was claimed before.
   void   Begin(const std::vector<LoggedRate>& before, Time now);
   // The next record of the log.
-  void   Take(const LoggedRate& claim, Time now);
+  void   Apply(const LoggedRate& claim, Time now);
   // Below 0: more was claimed than may be. Without a limit: 0.
-  double Left(const std::string& workspace, Time now) const;
+  double Remaining(const std::string& workspace, Time now) const;
   // Until so many are left, in ms; nothing: never.
-  std::optional<Duration> UntilLeft(const std::string& workspace, double tokens,
-                                    Time now) const;
+  std::optional<Duration> TimeUntilRemaining(const std::string& workspace,
+                                             double tokens, Time now) const;
   // How long a claim counts, in ms.
-  Duration                Span() const { return m_window.length + kRateHold; }
-  void                    Sweep(Time now);
+  Duration Span() const { return m_window.length + kRateTokenLifetime; }
+  void     Sweep(Time now);
 
  private:
   struct Claimed {
@@ -122,7 +122,7 @@
                        const RateEntry& entry);
   double      AllowanceOf(const std::string& workspace) const;
 
-  LimitOf                                 m_limit_of;
+  LimitLookup                             m_limit_of;
   RateWindow                              m_window;
   std::unordered_map<std::string, Claims> m_claims;  // by workspace
 };
--- a/tests/admission_test.cc
+++ b/tests/admission_test.cc
@@ -11,35 +11,35 @@
 #include <string>
 #include <vector>
 
-#include "yuccawick/admission/program_room.h"
+#include "yuccawick/admission/admission_controller.h"
 
 namespace yuccawick::tests {
 namespace {
 
+using admission::AdmissionController;
+using admission::AdmissionRequest;
 using admission::AdmissionSettings;
-using admission::ProgramRoom;
-using admission::RoomUse;
+using admission::CapacityUsage;
 using admission::Tokens;
-using admission::TurnAsk;
-using capacity::ServiceRoom;
+using capacity::ServiceCapacity;
 using net::Duration;
 using net::Time;
 
-constexpr int         kServers = 8;
-constexpr int         kSlots = 6;
-constexpr Tokens      kServerMemory = 46'000;
-constexpr ServiceRoom kRoom{kServers, kServers* kSlots,
-                            kServers* kServerMemory};
+constexpr int             kServers = 8;
+constexpr int             kSlots = 6;
+constexpr Tokens          kServerMemory = 46'000;
+constexpr ServiceCapacity kRoom{kServers, kServers* kSlots,
+                                kServers* kServerMemory};
 
 constexpr Duration kLeft = 4000;
 
-TurnAsk AskOf(int program, Tokens prompt = 600) {
-  TurnAsk ask;
+AdmissionRequest AskOf(int program, Tokens prompt = 600) {
+  AdmissionRequest ask;
   ask.program = std::to_string(program);
   ask.service = "s";
   ask.route = "r";
   ask.prompt_tokens = prompt;
-  ask.most_tokens = 100;
+  ask.max_tokens = 100;
   ask.left = kLeft;
   return ask;
 }
@@ -139,10 +139,10 @@
 class Replay {
  public:
   explicit Replay(bool admission) : m_random(7) {
-    if (!admission) m_settings.places = 0;
+    if (!admission) m_settings.slot_overcommit = 0;
     for (int i = 0; i < kHomes; ++i) {
-      m_homes.push_back(
-          std::make_unique<ProgramRoom>(&m_settings, &m_share, -10'000));
+      m_homes.push_back(std::make_unique<AdmissionController>(
+          &m_settings, &m_share, -10'000));
     }
   }
 
@@ -180,7 +180,7 @@
     return m_programs.emplace_back(program);
   }
 
-  ProgramRoom& HomeOf(const Program& program) {
+  AdmissionController& HomeOf(const Program& program) {
     return *m_homes[static_cast<std::size_t>(program.number % kHomes)];
   }
 
@@ -195,25 +195,26 @@
   }
 
   void Ask(Program* program) {
-    TurnAsk ask = AskOf(program->number, program->Prompt());
+    AdmissionRequest ask = AskOf(program->number, program->Prompt());
     ask.under_way = program->begun;
     ask.left = program->due - m_now;
     ask.partition = program->number % kHomes;
-    const auto answer = HomeOf(*program).Ask(ask, kRoom, m_now);
-    if (answer.may_run) {
+    const auto answer = HomeOf(*program).TryAdmit(ask, kRoom, m_now);
+    if (answer.admitted) {
       program->begun = true;
       m_servers[static_cast<std::size_t>(program->server)].Add(program);
     } else if (++program->tries < kTries) {
       std::uniform_real_distribution<double> spread(0.5, 1.5);
-      program->next = m_now + 1 +
-                      static_cast<Duration>(spread(m_random) *
-                                            static_cast<double>(answer.retry));
+      program->next =
+          m_now + 1 +
+          static_cast<Duration>(spread(m_random) *
+                                static_cast<double>(answer.retry_delay));
     }
   }
 
   void EndTurn(Program* program) {
-    HomeOf(*program).TurnEnded(AskOf(program->number, program->Prompt()), 100,
-                               m_now);
+    HomeOf(*program).OnTurnEnded(AskOf(program->number, program->Prompt()), 100,
+                                 m_now);
     if (++program->turns < kTurns) {
       program->next = m_now + kPause;
     } else if (program->counts && m_now <= program->due) {
@@ -226,20 +227,21 @@
       m_homes[i]->Sweep(m_now);
       for (std::size_t j = 0; j < m_homes.size(); ++j) {
         if (i != j)
-          m_homes[j]->TakeUses(std::to_string(i), m_homes[i]->OwnUses(), m_now);
+          m_homes[j]->SetPeerUsage(std::to_string(i),
+                                   m_homes[i]->LocalUsageByPartition(), m_now);
       }
     }
   }
 
-  std::mt19937                              m_random;
-  AdmissionSettings                         m_settings;
-  fairness::EqualShare                      m_share;
-  std::vector<std::unique_ptr<ProgramRoom>> m_homes;
-  std::array<Server, kServers>              m_servers;
-  std::deque<Program>                       m_programs;
-  Time                                      m_now = 0;
-  int                                       m_counted = 0;
-  int                                       m_in_time = 0;
+  std::mt19937                                      m_random;
+  AdmissionSettings                                 m_settings;
+  fairness::FirstComePolicy                         m_share;
+  std::vector<std::unique_ptr<AdmissionController>> m_homes;
+  std::array<Server, kServers>                      m_servers;
+  std::deque<Program>                               m_programs;
+  Time                                              m_now = 0;
+  int                                               m_counted = 0;
+  int                                               m_in_time = 0;
 };
 
 constexpr double kCalm =
@@ -272,11 +274,12 @@
 class Home {
  public:
   explicit Home(Time started = -10'000) : room(&settings, &share, started) {
-    settings.places = 0.6;  // of the time that is taken for needed at first
+    settings.slot_overcommit =
+        0.6;  // of the time that is taken for needed at first
   }
 
-  bool Ask(const TurnAsk& ask, Time now) {
-    return room.Ask(ask, kRoom, now).may_run;
+  bool Ask(const AdmissionRequest& ask, Time now) {
+    return room.TryAdmit(ask, kRoom, now).admitted;
   }
   // Programs `first` and on begin until one is refused; returns which.
   int Fill(int first, Time now) {
@@ -285,48 +288,48 @@
     return program;
   }
 
-  AdmissionSettings    settings;
-  fairness::EqualShare share;
-  ProgramRoom          room;
+  AdmissionSettings         settings;
+  fairness::FirstComePolicy share;
+  AdmissionController       room;
 };
 
 // A busy home is killed: its programs' next turns reach one that knows nothing.
 Test(Admission, HomeLost_TheNextCountsItsPrograms) {
   Home next;
   for (int i = 0; i < kServers * kSlots; ++i) {
-    TurnAsk ask = AskOf(i);
+    AdmissionRequest ask = AskOf(i);
     ask.under_way = true;
     cr_assert(next.Ask(ask, 0));
   }
-  cr_assert_eq(next.room.OwnUse().programs, kServers * kSlots);
+  cr_assert_eq(next.room.LocalUsage().programs, kServers * kSlots);
   cr_assert(!next.Ask(AskOf(1000), 0));
 }
 
 // The home whose news stops holds nothing after a while.
 Test(Admission, OtherHomeSilent_ItsUseIsForgotten) {
   Home home;
-  home.room.TakeUses("other", {{7, {100, 100, 300'000}}}, 0);
+  home.room.SetPeerUsage("other", {{7, {100, 100, 300'000}}}, 0);
   cr_assert(!home.Ask(AskOf(1), 10));
-  cr_assert(home.Ask(AskOf(2), 10 + home.settings.use_memory));
+  cr_assert(home.Ask(AskOf(2), 10 + home.settings.usage_report_ttl));
 }
 
 // Clients end without a word between two turns.
 Test(Admission, ProgramsVanish_TheirRoomComesBack) {
   Home      home;
   const int begun = home.Fill(0, 0);
-  for (int i = 0; i < begun; ++i) home.room.TurnEnded(AskOf(i), 100, 200);
+  for (int i = 0; i < begun; ++i) home.room.OnTurnEnded(AskOf(i), 100, 200);
   home.room.Sweep(300);
-  cr_assert_eq(home.room.OwnUse().programs, begun);
-  home.room.Sweep(300 + 2 * home.settings.silence);
-  cr_assert_eq(home.room.OwnUse(), RoomUse());
+  cr_assert_eq(home.room.LocalUsage().programs, begun);
+  home.room.Sweep(300 + 2 * home.settings.default_think_time);
+  cr_assert_eq(home.room.LocalUsage(), CapacityUsage());
 }
 
 // A program that was taken for ended goes on, in servers that are full.
 Test(Admission, SilentProgramReturns_IsNotRefused) {
   Home home;
   cr_assert(home.Ask(AskOf(0), 0));
-  home.room.TurnEnded(AskOf(0), 100, 100);
-  home.room.Sweep(100 + 3 * home.settings.silence);
+  home.room.OnTurnEnded(AskOf(0), 100, 100);
+  home.room.Sweep(100 + 3 * home.settings.default_think_time);
   home.Fill(1, 2000);
   cr_assert(home.Ask(AskOf(0, 1200), 2000));
 }
@@ -335,8 +338,8 @@
 Test(Admission, TurnsWithdrawn_PlacesComeBack) {
   Home      home;
   const int begun = home.Fill(0, 0);
-  for (int i = 0; i < begun; ++i) home.room.Withdraw(AskOf(i), 10);
-  cr_assert_eq(home.room.OwnUse().places, 0);
+  for (int i = 0; i < begun; ++i) home.room.CancelAdmission(AskOf(i), 10);
+  cr_assert_eq(home.room.LocalUsage().slots, 0);
 }
 
 // The end of a turn is never heard of.
@@ -344,16 +347,16 @@
   Home home;
   home.Fill(0, 0);
   home.room.Sweep(120'000);
-  cr_assert_eq(home.room.OwnUse(), RoomUse());
+  cr_assert_eq(home.room.LocalUsage(), CapacityUsage());
 }
 
 // Those who were sent away come back among many that ask for the first time.
 Test(Admission, RefusedProgramReturns_GoesBeforeNewOnes) {
-  Home    home;
-  TurnAsk refused = AskOf(home.Fill(0, 0));
+  Home             home;
+  AdmissionRequest refused = AskOf(home.Fill(0, 0));
   cr_assert(!home.Ask(refused, 0));
-  const Time back = home.room.RetryFor(refused.program, 0);
-  home.room.TurnEnded(AskOf(0), 100, back);
+  const Time back = home.room.RetryDelay(refused.program, 0);
+  home.room.OnTurnEnded(AskOf(0), 100, back);
   cr_assert(!home.Ask(AskOf(1000), back));
   refused.left = kLeft - back;
   cr_assert(home.Ask(refused, back));
@@ -361,14 +364,14 @@
 
 // A program that has waited too long takes no room from those in time.
 Test(Admission, ProgramTooLate_WaitsForMoreRoom) {
-  Home      home;
-  const int begun = home.Fill(0, 0);
-  TurnAsk   late = AskOf(begun);
+  Home             home;
+  const int        begun = home.Fill(0, 0);
+  AdmissionRequest late = AskOf(begun);
   late.left = -1;
-  home.room.TurnEnded(AskOf(0), 100, 10);
+  home.room.OnTurnEnded(AskOf(0), 100, 10);
   cr_assert(!home.Ask(late, 10));
   cr_assert(home.Ask(AskOf(1000), 10));
-  for (int i = 1; i < begun; ++i) home.room.TurnEnded(AskOf(i), 100, 10);
+  for (int i = 1; i < begun; ++i) home.room.OnTurnEnded(AskOf(i), 100, 10);
   cr_assert(home.Ask(late, 10));
 }
 
@@ -376,8 +379,8 @@
 Test(Admission, HomesWithStaleNews_DoNotGiveRoomTwice) {
   Home a;
   Home b;
-  a.room.TakeUses("b", {{7, {20, 20, 20'000}}}, 0);
-  b.room.TakeUses("a", {{7, {20, 20, 20'000}}}, 0);
+  a.room.SetPeerUsage("b", {{7, {20, 20, 20'000}}}, 0);
+  b.room.SetPeerUsage("a", {{7, {20, 20, 20'000}}}, 0);
   const int begun = a.Fill(0, 40) + b.Fill(0, 40);
   cr_assert_leq(begun, kServers * kSlots - 20);
   cr_assert_gt(begun, 0);
@@ -391,11 +394,11 @@
     a.Ask(AskOf(i), i);
     b.Ask(AskOf(i), i);
   }
-  const RoomUse own = a.room.OwnUse();
-  a.room.TakeUses("b", b.room.OwnUses(), 10);
+  const CapacityUsage own = a.room.LocalUsage();
+  a.room.SetPeerUsage("b", b.room.LocalUsageByPartition(), 10);
   cr_assert_eq(a.room.TotalUse(10).memory, own.memory);
   cr_assert_eq(a.room.TotalUse(10).programs, own.programs);
-  cr_assert_eq(a.room.TotalUse(10).places, 2 * own.places);
+  cr_assert_eq(a.room.TotalUse(10).slots, 2 * own.slots);
 }
 
 // Power was lost everywhere: nobody knows what is under way.
@@ -412,19 +415,19 @@
   Home home;
   for (int i = 0; i < 1000; ++i) cr_assert(home.Ask(AskOf(0, 600 + i), i));
   for (int i = 0; i < 1000; ++i)
-    home.room.TurnEnded(AskOf(0, 600 + i), 100, 1000);
-  cr_assert_eq(home.room.OwnUse().programs, 1);
-  home.room.Sweep(1000 + 3 * home.settings.silence);
-  cr_assert_eq(home.room.OwnUse(), RoomUse());
+    home.room.OnTurnEnded(AskOf(0, 600 + i), 100, 1000);
+  cr_assert_eq(home.room.LocalUsage().programs, 1);
+  home.room.Sweep(1000 + 3 * home.settings.default_think_time);
+  cr_assert_eq(home.room.LocalUsage(), CapacityUsage());
 }
 
 // Programs that pause for long hold the memory while the servers are idle.
 Test(Admission, ServersHalfIdle_NothingIsRefused) {
   Home home;
-  home.room.TakeUses("other", {{7, {200, 10, kRoom.memory}}}, 0);
+  home.room.SetPeerUsage("other", {{7, {200, 10, kRoom.memory}}}, 0);
   cr_assert(home.Ask(AskOf(0), 10));
-  home.room.TakeUses("other", {{7, {200, kServers * kSlots, kRoom.memory}}},
-                     10);
+  home.room.SetPeerUsage("other", {{7, {200, kServers * kSlots, kRoom.memory}}},
+                         10);
   cr_assert(!home.Ask(AskOf(1), 10));
 }
 
--- a/tests/fairness_test.cc
+++ b/tests/fairness_test.cc
@@ -10,30 +10,30 @@
 #include <string>
 #include <vector>
 
-#include "yuccawick/fairness/fair_begin.h"
+#include "yuccawick/fairness/fair_share_policy.h"
 
 namespace yuccawick::tests {
 namespace {
 
-using fairness::Beginner;
-using fairness::BeginShare;
-using fairness::EqualShare;
-using fairness::FairBegin;
-using fairness::FairBeginSettings;
+using fairness::FairnessPolicy;
+using fairness::FairSharePolicy;
+using fairness::FairShareSettings;
+using fairness::FirstComePolicy;
+using fairness::NewProgram;
 using net::Duration;
 using net::Time;
 
 // A moment at which the margins of urgency and lateness hold.
 constexpr Time kMargins = 1190;
 
-std::unique_ptr<FairBegin> Fair() {
-  return std::make_unique<FairBegin>(FairBeginSettings{},
-                                     [](const std::string&) { return 0; });
+std::unique_ptr<FairSharePolicy> Fair() {
+  return std::make_unique<FairSharePolicy>(
+      FairShareSettings{}, [](const std::string&) { return 0; });
 }
 
 struct Callers {
-  Beginner who;
-  double   per_second = 0;
+  NewProgram who;
+  double     per_second = 0;
 };
 
 struct Served {
@@ -46,7 +46,7 @@
 // with as long a pause after each; one that is refused does not come back.
 class Room {
  public:
-  Room(int programs, BeginShare* share)
+  Room(int programs, FairnessPolicy* share)
       : m_programs(programs), m_share(share) {}
 
   // What callers of each name got, from 4 s on.
@@ -60,7 +60,8 @@
           continue;
         }
         const bool may =
-            m_under_way + 1 <= m_programs * m_share->ShareFor(caller.who, now);
+            m_under_way + 1 <=
+            m_programs * m_share->AdmissionThreshold(caller.who, now);
         if (may) Begin(caller.who.workspace, now);
         if (now < 5000) continue;
         Served& count = served[caller.who.workspace + caller.who.route +
@@ -103,7 +104,7 @@
   }
 
   int                       m_programs;
-  BeginShare*               m_share;
+  FairnessPolicy*           m_share;
   std::mt19937              m_random{42};
   int                       m_under_way = 0;
   std::priority_queue<Turn> m_turns;
@@ -140,7 +141,7 @@
   return sum.part();
 }
 
-double OthersWithHot(BeginShare* share, double load, double times) {
+double OthersWithHot(FairnessPolicy* share, double load, double times) {
   auto callers = Workspaces(10, load);
   callers[0].per_second *= times;
   return Others(Room(kRoom, share).Run(callers, kLength));
@@ -151,15 +152,15 @@
 // Ten workspaces ask for seven tenths of the room, then one of them for eight
 // times as much as before.
 Test(Fairness, OneWorkspaceAsksEightTimesAsMuch_CostsOthersUnderFiveInHundred) {
-  const auto   fair = Fair();
-  const double calm = OthersWithHot(Fair().get(), 0.7, 1);
-  const double hot = OthersWithHot(fair.get(), 0.7, 8);
-  EqualShare   equal;
-  const double first_come = OthersWithHot(&equal, 0.7, 8);
+  const auto      fair = Fair();
+  const double    calm = OthersWithHot(Fair().get(), 0.7, 1);
+  const double    hot = OthersWithHot(fair.get(), 0.7, 8);
+  FirstComePolicy equal;
+  const double    first_come = OthersWithHot(&equal, 0.7, 8);
   cr_assert_geq(hot, 0.95 * calm, "%f of %f, first come %f", hot, calm,
                 first_come);
   cr_assert_lt(first_come, 0.95 * calm, "%f", first_come);
-  const auto top = fair->TopUsers(1);
+  const auto top = fair->TopWorkspaces(1);
   cr_assert_eq(top.size(), 1);
   cr_assert(top[0].workspace == "w0");
   cr_assert_gt(top[0].margin, 0);
@@ -199,8 +200,8 @@
     if (turn % 6 == 0)
       fair->Charge("w" + std::to_string(turn / 6 % 5), 200, 1000);
   }
-  const Beginner hot{"hot", "r"};
-  cr_assert_lt(fair->ShareFor(hot, 1000), 0.95);
+  const NewProgram hot{"hot", "r"};
+  cr_assert_lt(fair->AdmissionThreshold(hot, 1000), 0.95);
   Time now = 1000;
   for (int turn = 0; turn < 100; ++turn) {
     now += 160;
@@ -208,19 +209,21 @@
       fair->Charge("w" + std::to_string(i), 100, now);
     }
   }
-  cr_assert_geq(fair->ShareFor(hot, now), 0.98);
+  cr_assert_geq(fair->AdmissionThreshold(hot, now), 0.98);
 }
 
 // By its priority a workspace may use more before it leaves room to others.
 Test(Fairness, WorkspacesOfTwoPriorities_FirstMayUseMore) {
-  FairBegin fair(FairBeginSettings{},
-                 [](const std::string& name) { return name == "second"; });
+  FairSharePolicy fair(FairShareSettings{}, [](const std::string& name) {
+    return name == "second";
+  });
   for (int turn = 0; turn < 100; ++turn) {
     fair.Charge("first", 200, 1000);
     fair.Charge("second", 200, 1000);
   }
-  cr_assert_float_eq(fair.ShareFor({"first", "r"}, kMargins), 1, 1e-9);
-  cr_assert_lt(fair.ShareFor({"second", "r"}, kMargins), 1);
+  cr_assert_float_eq(fair.AdmissionThreshold({"first", "r"}, kMargins), 1,
+                     1e-9);
+  cr_assert_lt(fair.AdmissionThreshold({"second", "r"}, kMargins), 1);
 }
 
 // A route of the next priority asks for as much; together it is twice the room.
@@ -253,11 +256,12 @@
 // A route leaves no room to a more urgent one that nobody asks for.
 Test(Fairness, OnlyLessUrgentRouteAsks_MayTakeTheLastPlace) {
   const auto fair = Fair();
-  Beginner   other{"", "other", 1};
-  cr_assert_float_eq(fair->ShareFor(other, kMargins), 1, 1e-9);
-  fair->ShareFor({"", "urgent", 0}, kMargins);
-  cr_assert_lt(fair->ShareFor(other, kMargins), 1);
-  cr_assert_float_eq(fair->ShareFor(other, kMargins + 10'200), 1, 1e-9);
+  NewProgram other{"", "other", 1};
+  cr_assert_float_eq(fair->AdmissionThreshold(other, kMargins), 1, 1e-9);
+  fair->AdmissionThreshold({"", "urgent", 0}, kMargins);
+  cr_assert_lt(fair->AdmissionThreshold(other, kMargins), 1);
+  cr_assert_float_eq(fair->AdmissionThreshold(other, kMargins + 10'200), 1,
+                     1e-9);
 }
 
 Test(Fairness, LateProgramsInCalm_AreServed) {
@@ -288,12 +292,13 @@
 Test(Fairness, HomeStartsAnew_TreatsAllAlike) {
   const auto fair = Fair();
   for (const char* name : {"a", "b", "hot"}) {
-    cr_assert_float_eq(fair->ShareFor({name, "r"}, kMargins), 1, 1e-9);
+    cr_assert_float_eq(fair->AdmissionThreshold({name, "r"}, kMargins), 1,
+                       1e-9);
   }
   fair->Charge("hot", 200, kMargins);
-  cr_assert_float_eq(fair->ShareFor({"hot", "r"}, kMargins), 1, 1e-9);
+  cr_assert_float_eq(fair->AdmissionThreshold({"hot", "r"}, kMargins), 1, 1e-9);
   fair->Charge("a", 20, kMargins);
-  cr_assert_float_eq(fair->ShareFor({"hot", "r"}, kMargins), 1, 1e-9);
+  cr_assert_float_eq(fair->AdmissionThreshold({"hot", "r"}, kMargins), 1, 1e-9);
 }
 
 // Each home sees a few of a workspace's programs, too few to say much.
@@ -306,21 +311,23 @@
       if (turn % 2 == 0) home->Charge("w" + std::to_string(turn), 200, 1000);
     }
   }
-  const double before = one->ShareFor({"hot", "r"}, kMargins);
-  other->Hear(one->TakeUntold(), 1000);
-  one->Hear(other->TakeUntold(), 1000);
-  const double after = one->ShareFor({"hot", "r"}, kMargins);
+  const double before = one->AdmissionThreshold({"hot", "r"}, kMargins);
+  other->MergePeer(one->TakeUnsent(), 1000);
+  one->MergePeer(other->TakeUnsent(), 1000);
+  const double after = one->AdmissionThreshold({"hot", "r"}, kMargins);
   cr_assert_lt(after, before, "%f, %f", before, after);
-  cr_assert_float_eq(after, other->ShareFor({"hot", "r"}, kMargins), 1e-9);
+  cr_assert_float_eq(after, other->AdmissionThreshold({"hot", "r"}, kMargins),
+                     1e-9);
   // What was heard is not told on.
-  cr_assert(one->TakeUntold().empty());
+  cr_assert(one->TakeUnsent().empty());
 }
 
 // A node that runs another version may send anything.
 Test(Fairness, ChargesThatAreNoNumbers_AreLeftOut) {
   const auto   fair = Fair();
   const double kNan = std::nan("");
-  fair->Hear({{"a", kNan, 1}, {"b", -5, 1}, {"c", 5, 0}, {"", 5, 1}}, 1000);
+  fair->MergePeer({{"a", kNan, 1}, {"b", -5, 1}, {"c", 5, 0}, {"", 5, 1}},
+                  1000);
   cr_assert_eq(fair->workspaces(), 0);
 }
 
@@ -328,14 +335,15 @@
 Test(Fairness, OneWorkspaceAlone_MayTakeTheLastPlace) {
   const auto fair = Fair();
   for (int i = 0; i < 100; ++i) fair->Charge("only", 200, 1000 + i);
-  cr_assert_float_eq(fair->ShareFor({"only", "r"}, kMargins), 1, 1e-9);
+  cr_assert_float_eq(fair->AdmissionThreshold({"only", "r"}, kMargins), 1,
+                     1e-9);
 }
 
 Test(Fairness, EightThousandWorkspaces_StateIsBoundedAndIdleOnesForgotten) {
-  FairBeginSettings settings;
+  FairShareSettings settings;
   settings.workspaces = 1000;
-  FairBegin fair(settings, [](const std::string&) { return 0; });
-  Time      now = 1000;
+  FairSharePolicy fair(settings, [](const std::string&) { return 0; });
+  Time            now = 1000;
   for (int i = 0; i < 8200; ++i) {
     fair.Charge("w" + std::to_string(i), 100, now);
     cr_assert_leq(fair.workspaces(), 1000);
@@ -355,7 +363,7 @@
   fair->Charge("a", 200, 1000);
   fair->Charge("b", 200, 1000);
   fair->Charge("a", 200, 1000 + 1'000'000'000);
-  const double share = fair->ShareFor({"a", "r"}, 1'000'001'190);
+  const double share = fair->AdmissionThreshold({"a", "r"}, 1'000'001'190);
   cr_assert_geq(share, 0.5);
   cr_assert_leq(share, 1.0);
 }
--- a/tests/placement_test.cc
+++ b/tests/placement_test.cc
@@ -21,9 +21,9 @@
 namespace {
 
 using net::Time;
+using traffic::AffinityScope;
 using traffic::BackendServer;
 using traffic::Candidate;
-using traffic::HomeReach;
 using traffic::PlacementKind;
 using traffic::ServerPool;
 
@@ -108,13 +108,13 @@
     for (std::size_t k = 0; k < m_servers.size(); ++k) {
       Candidate candidate;
       candidate.server = &m_servers[k];
-      candidate.own_load = m_own[node][k];
+      candidate.local_load = m_own[node][k];
       candidate.same_zone = m_servers[k].zone == kZoneNames[zone];
-      candidate.others_load = static_cast<int>(std::lround(m_stale[zone][k]));
-      candidate.pace = known(node, k);
+      candidate.peer_load = static_cast<int>(std::lround(m_stale[zone][k]));
+      candidate.slowdown = known(node, k);
       candidates.push_back(candidate);
     }
-    traffic::LeaveSome(&candidates, {}, &m_random);
+    traffic::SampleCandidates(&candidates, {}, &m_random);
     const double draw = std::uniform_real_distribution<double>()(m_random);
     const auto   chosen = static_cast<std::size_t>(
         candidates[m_placement->Choose(candidates, draw)].server -
@@ -240,7 +240,7 @@
     for (const BackendServer& server : servers) {
       Candidate candidate;
       candidate.server = &server;
-      candidate.own_load = static_cast<int>(random() % 9);
+      candidate.local_load = static_cast<int>(random() % 9);
       candidate.same_zone = random() % 3 == 0;
       candidate.holds_prefix = random() % 5 == 0;
       candidate.recent_failures = random() % 8 == 0 ? 1 : 0;
@@ -259,9 +259,9 @@
   candidates[0].holds_prefix = true;
   for (Candidate& each : candidates) each.prompt_tokens = 4000;
   const auto placement = MakePlacement(PlacementKind::kSoonestEnd, {});
-  candidates[0].pace = 1.1;
+  candidates[0].slowdown = 1.1;
   cr_expect_eq(placement->Choose(candidates, 0.5), 0);
-  candidates[0].pace = 2.5;
+  candidates[0].slowdown = 2.5;
   cr_expect_eq(placement->Choose(candidates, 0.5), 1);
 }
 
@@ -271,7 +271,7 @@
   std::vector<Candidate> candidates(2);
   for (std::size_t i = 0; i < 2; ++i) candidates[i].server = &servers[i];
   candidates[0].holds_prefix = true;
-  candidates[0].own_load = kSlots / 2;
+  candidates[0].local_load = kSlots / 2;
   for (Candidate& each : candidates) each.prompt_tokens = 2000;
   const auto placement = MakePlacement(PlacementKind::kSoonestEnd, {});
   cr_expect_eq(placement->Choose(candidates, 0.5), 1);
@@ -290,13 +290,13 @@
 
 std::string HomeOf(const ServerPool& pool, const std::string& program) {
   std::vector<Candidate> candidates;
-  for (const auto* server : pool.Around(program, HomeReach::kZone, 64)) {
+  for (const auto* server : pool.Around(program, AffinityScope::kZone, 64)) {
     Candidate candidate;
     candidate.server = server;
     candidate.same_zone = true;
     candidates.push_back(candidate);
   }
-  return LikelyHome(program, candidates, HomeReach::kZone);
+  return PreferredServer(program, candidates, AffinityScope::kZone);
 }
 
 Test(ServerPool, ThirtyServersOrThreeThousand_LooksAreBounded) {
@@ -309,7 +309,7 @@
     cr_expect_eq(drawn.size(), std::min<std::size_t>(count, most));
     const std::set<const BackendServer*> distinct(drawn.begin(), drawn.end());
     cr_expect_eq(distinct.size(), drawn.size());
-    const auto around = pool.Around("p", HomeReach::kAllZones, 64);
+    const auto around = pool.Around("p", AffinityScope::kAllZones, 64);
     cr_expect_eq(around.size(), std::min<std::size_t>(count, 64));
   }
 }
@@ -331,8 +331,9 @@
 
 Test(ServerPool, ZoneWithoutServers_HasNoHomes) {
   const auto servers = MakeServers(3, "b");
-  cr_expect(PoolOf(servers).Around("p", HomeReach::kZone, 64).empty());
-  cr_expect_eq(PoolOf(servers).Around("p", HomeReach::kAllZones, 64).size(), 3);
+  cr_expect(PoolOf(servers).Around("p", AffinityScope::kZone, 64).empty());
+  cr_expect_eq(PoolOf(servers).Around("p", AffinityScope::kAllZones, 64).size(),
+               3);
 }
 
 // One node's picture of a service, with a clock that is moved by hand.
@@ -350,10 +351,10 @@
     m_loop.RunOnce(0);
   }
   void Observe(const std::string& id, double took) {
-    m_backends.NoteWork(id, "", took);
+    m_backends.ObserveServiceTime(id, "", took);
   }
   double LoadOf(const std::string& id) { return m_backends.Find(id)->load; }
-  double PaceOf(const std::string& id) { return m_backends.Find(id)->pace; }
+  double PaceOf(const std::string& id) { return m_backends.Find(id)->slowdown; }
   gateway::Backends&          backends() { return m_backends; }
   std::vector<BackendServer>& servers() { return m_servers; }
 
@@ -382,17 +383,17 @@
 }
 
 Test(Backends, NeighboursTellAndFallSilent_SumHoldsWhatTheySaidLast) {
-  Picture                 picture(2);
-  gateway::Backends::News some;
+  Picture                          picture(2);
+  gateway::Backends::ServerReports some;
   some["a0"].requests = 6;
-  gateway::Backends::News more = some;
+  gateway::Backends::ServerReports more = some;
   more["a0"].requests = 12;
-  picture.backends().SetPeerNews("x", more);
-  picture.backends().SetPeerNews("x", some);
-  picture.backends().SetPeerNews("y", more);
+  picture.backends().SetPeerReport("x", more);
+  picture.backends().SetPeerReport("x", some);
+  picture.backends().SetPeerReport("y", more);
   cr_expect_float_eq(picture.LoadOf("a0"), 3.0, 1e-9);
   picture.Wait(500);
-  picture.backends().SetPeerNews("y", some);
+  picture.backends().SetPeerReport("y", some);
   picture.Wait(500);
   picture.backends().Sweep();
   cr_expect_float_eq(picture.LoadOf("a0"), 1.0, 1e-9);
--- a/tests/rate_limit_test.cc
+++ b/tests/rate_limit_test.cc
@@ -11,7 +11,7 @@
 #include <random>
 #include <set>
 
-#include "yuccawick/workspaces/rate_home.h"
+#include "yuccawick/workspaces/rate_allocator.h"
 
 namespace yuccawick::tests {
 namespace {
@@ -19,11 +19,11 @@
 using net::Duration;
 using net::Time;
 using workspaces::LoggedRate;
-using workspaces::RateAnswer;
-using workspaces::RateAsk;
-using workspaces::RateHome;
+using workspaces::RateAllocator;
 using workspaces::RateLimit;
 using workspaces::RateRecord;
+using workspaces::RateRequest;
+using workspaces::RateResponse;
 using workspaces::RateWindow;
 
 const std::string    kWorkspace = "w";
@@ -66,14 +66,14 @@
 
  private:
   struct Home {
-    std::string                      node;
-    std::unique_ptr<RateHome>        home;
-    std::int64_t                     next = -1;  // -1: not open
-    std::int64_t                     last = -1;
-    Time                             acked = 0;
-    bool                             waiting = false;  // a record is under way
-    std::uint64_t                    life = 0;
-    std::optional<RateHome::Entered> question;
+    std::string                    node;
+    std::unique_ptr<RateAllocator> home;
+    std::int64_t                   next = -1;  // -1: not open
+    std::int64_t                   last = -1;
+    Time                           acked = 0;
+    bool                           waiting = false;  // a record is under way
+    std::uint64_t                  life = 0;
+    std::optional<RateAllocator::SubmittedRequest> question;
   };
   // A record on its way into the log, and its answer on the way back.
   struct Flight {
@@ -93,7 +93,7 @@
     Home home;
     home.life = ++m_lives;
     home.node = "n" + std::to_string(number) + "/" + std::to_string(home.life);
-    home.home = std::make_unique<RateHome>(
+    home.home = std::make_unique<RateAllocator>(
         [this](const std::string&) { return std::optional(m_limit); }, kWindow);
     return home;
   }
@@ -146,12 +146,12 @@
       home->home->ledger().Begin(before, m_now);
     } else {
       for (std::int64_t i = home->next; i < *flight.offset; ++i) {
-        home->home->ledger().Take({i, m_log[static_cast<std::size_t>(i)]},
-                                  m_now);
+        home->home->ledger().Apply({i, m_log[static_cast<std::size_t>(i)]},
+                                   m_now);
       }
       const LoggedRate claim{*flight.offset, flight.record};
-      home->home->ledger().Take(claim, m_now);
-      home->home->Granted(claim, sent, m_now);
+      home->home->ledger().Apply(claim, m_now);
+      home->home->OnGranted(claim, sent, m_now);
     }
     home->next = *flight.offset + 1;
     home->last = *flight.offset;
@@ -164,29 +164,29 @@
       return;
     }
     if (!home->question && Pick(0, 2) == 0) {
-      RateAsk ask;
+      RateRequest ask;
       ask.workspace = kWorkspace;
       ask.want = Pick(1, 12);
       for (const auto& unused : m_unused) ask.unused.push_back(unused);
       m_unused.clear();
-      home->question = home->home->Enter(ask, m_now);
+      home->question = home->home->Submit(ask, m_now);
     }
     if (home->question) {
-      const auto answer = home->home->Answer(*home->question, m_now);
+      const auto answer = home->home->TryRespond(*home->question, m_now);
       if (answer) {
         home->question.reset();
         Use(*answer);
       }
     }
     if (home->waiting) return;
-    auto entries = Pick(0, 9) == 0 ? home->home->NextReturns(m_now)
+    auto entries = Pick(0, 9) == 0 ? home->home->NextReleases(m_now)
                                    : home->home->NextClaim(10, m_now);
     if (entries.empty()) return;
     Send(home,
          {home->node, home->last, m_now, home->acked, std::move(entries)});
   }
 
-  void Use(const RateAnswer& answer) {
+  void Use(const RateResponse& answer) {
     for (int i = 0; i < answer.tokens; ++i) {
       if (Pick(0, 9) == 0) {
         m_unused.push_back({kWorkspace, -1, answer.origin});
@@ -221,11 +221,11 @@
   }
 
   // Asks, and claims until there is an answer.
-  RateAnswer Ask(RateAsk ask) {
+  RateResponse Ask(RateRequest ask) {
     ask.workspace = kWorkspace;
-    const auto entered = home.Enter(ask, now);
+    const auto entered = home.Submit(ask, now);
     for (;;) {
-      if (const auto answer = home.Answer(entered, now)) return *answer;
+      if (const auto answer = home.TryRespond(entered, now)) return *answer;
       Claim();
     }
   }
@@ -233,12 +233,12 @@
   int Take(int tokens) {
     for (int taken = 0; taken < tokens; ++taken) {
       if (at_hand.Take(now)) continue;
-      RateAsk ask;
+      RateRequest ask;
       ask.want = tokens - taken;
-      for (const auto& ended : at_hand.TakeEnded(now)) {
+      for (const auto& ended : at_hand.TakeExpired(now)) {
         ask.unused.push_back({kWorkspace, -ended.tokens, ended.origin});
       }
-      const RateAnswer answer = Ask(ask);
+      const RateResponse answer = Ask(ask);
       at_hand.Add({answer.tokens, now + answer.valid, answer.origin});
       if (!at_hand.Take(now)) return taken;
     }
@@ -246,25 +246,25 @@
   }
   // What a node has at hand and did not use.
   void TellUnused() {
-    RateAsk ask;
+    RateRequest ask;
     ask.workspace = kWorkspace;
-    for (const auto& ended : at_hand.TakeEnded(now)) {
+    for (const auto& ended : at_hand.TakeExpired(now)) {
       ask.unused.push_back({kWorkspace, -ended.tokens, ended.origin});
     }
-    home.Enter(ask, now);
+    home.Submit(ask, now);
   }
   void Claim() { Append(home.NextClaim(10, now)); }
   void Append(std::vector<workspaces::RateEntry> entries) {
     if (entries.empty()) return;
     const LoggedRate claim{m_offset, {"n", m_offset - 1, now, now, entries}};
     ++m_offset;
-    home.ledger().Take(claim, now);
-    home.Granted(claim, now, now);
+    home.ledger().Apply(claim, now);
+    home.OnGranted(claim, now, now);
   }
   void Pass(Duration time) {
     now += time;
     home.Sweep(now);
-    Append(home.NextReturns(now));
+    Append(home.NextReleases(now));
   }
 
  private:
@@ -273,7 +273,7 @@
  public:
   RateLimit             m_limit;
   Time                  now = 1'000'000;
-  RateHome              home;
+  RateAllocator         home;
   workspaces::TokenPool at_hand;  // of a node
 };
 
@@ -332,11 +332,11 @@
   }
   // All that is at hand and at its home ends.
   for (int i = 0; i < 3; ++i) {
-    d.Pass(workspaces::kRateHold);
+    d.Pass(workspaces::kRateTokenLifetime);
     d.TellUnused();
   }
   const double used = workspaces::Allowance(d.m_limit, kWindow) -
-                      d.home.ledger().Left(kWorkspace, d.now);
+                      d.home.ledger().Remaining(kWorkspace, d.now);
   cr_assert_eq(used, 80.0, "%f", used);
 }
 
@@ -349,23 +349,23 @@
       },
       kWindow);
   ledger.Begin({}, 0);
-  const double all = ledger.Left(kWorkspace, 0);
-  ledger.Take({0, Record("a", -1, 0, 0, 10)}, 0);
-  ledger.Take({1, {"b", -1, 0, 0, {{kWorkspace, -10, 0}}}}, 0);  // not b's
-  cr_assert_eq(ledger.Left(kWorkspace, 0), all - 10);
-  ledger.Take({2, {"a", 0, 0, 0, {{kWorkspace, -30, 0}}}}, 0);
-  cr_assert_eq(ledger.Left(kWorkspace, 0), all);
-  ledger.Take({3, Record("a", 2, 0, 0, 7)}, 0);
-  ledger.Take({4, {"a", 3, 0, 0, {{kWorkspace, -7, 2}}}},
-              0);  // an older origin
-  cr_assert_eq(ledger.Left(kWorkspace, 0), all - 7);
+  const double all = ledger.Remaining(kWorkspace, 0);
+  ledger.Apply({0, Record("a", -1, 0, 0, 10)}, 0);
+  ledger.Apply({1, {"b", -1, 0, 0, {{kWorkspace, -10, 0}}}}, 0);  // not b's
+  cr_assert_eq(ledger.Remaining(kWorkspace, 0), all - 10);
+  ledger.Apply({2, {"a", 0, 0, 0, {{kWorkspace, -30, 0}}}}, 0);
+  cr_assert_eq(ledger.Remaining(kWorkspace, 0), all);
+  ledger.Apply({3, Record("a", 2, 0, 0, 7)}, 0);
+  ledger.Apply({4, {"a", 3, 0, 0, {{kWorkspace, -7, 2}}}},
+               0);  // an older origin
+  cr_assert_eq(ledger.Remaining(kWorkspace, 0), all - 7);
 }
 
 Test(RateLimits, LimitLowered_BindsAtOnce) {
   OneHome d({100, 100});
   cr_assert_eq(d.Take(200), 200);
   d.m_limit = {10, 10};
-  d.Pass(workspaces::kRateHold);  // what is at hand may still be used
+  d.Pass(workspaces::kRateTokenLifetime);  // what is at hand may still be used
   cr_assert_eq(d.Take(1), 0);
   d.Pass(d.home.ledger().Span());
   cr_assert_geq(d.Take(100), 60);
@@ -393,8 +393,8 @@
       },
       kWindow);
   ledger.Begin(claims, 0);
-  const double used =
-      workspaces::Allowance({100, 100}, kWindow) - ledger.Left(kWorkspace, 0);
+  const double used = workspaces::Allowance({100, 100}, kWindow) -
+                      ledger.Remaining(kWorkspace, 0);
   cr_assert_leq(used, static_cast<double>(ledger.Span()) / 20 + 3);
 }
 
@@ -466,7 +466,7 @@
     }
     for (Program& program : programs) {
       if (program.next > d.now) continue;
-      RateAsk ask;
+      RateRequest ask;
       if (program.known) {
         ask.want = 1;
       } else {
@@ -474,7 +474,7 @@
       }
       if (program.tried == 0) program.tried = d.now;
       if (program.steps > 0) ask.steps = {{program.hash, 1}};
-      const RateAnswer answer = d.Ask(ask);
+      const RateResponse answer = d.Ask(ask);
       if (answer.tokens > 0) {
         program.known = true;
         program.tried = 0;
@@ -482,14 +482,14 @@
         ++program.steps;
       } else if (!program.known && answer.may_go_on.empty()) {
         ++turned_away;
-        returns.insert(answer.begin_retry);
+        returns.insert(answer.new_program_retry_delay);
         program.steps = -1;
       } else if (d.now - program.tried > 1000) {
         ++cut;
         program.steps = -1;
       } else {
         program.known = true;
-        program.next = d.now + std::max<Duration>(25, answer.retry);
+        program.next = d.now + std::max<Duration>(25, answer.retry_delay);
       }
     }
     std::erase_if(programs, [&ended](const Program& program) {
@@ -509,18 +509,18 @@
 // A limit holds fewer requests than a program usually needs. Nothing else is
 // asked for, so a program begins all the same, and goes on at the limit's pace.
 Test(RateLimits, LimitSmallerThanOneProgram_AProgramBeginsAndGoesOn) {
-  constexpr RateWindow            kExact{5000, 0, 0};
-  workspaces::RateLedger::LimitOf limit_of = [](const std::string&) {
+  constexpr RateWindow                kExact{5000, 0, 0};
+  workspaces::RateLedger::LimitLookup limit_of = [](const std::string&) {
     return std::optional(RateLimit{1, 0});
   };
-  RateHome home(limit_of, kExact);
+  RateAllocator home(limit_of, kExact);
   home.ledger().Begin({}, 0);
-  RateAsk ask;
+  RateRequest ask;
   ask.workspace = kWorkspace;
   ask.waiting = {17};
-  const auto entered = home.Enter(ask, 0);
+  const auto entered = home.Submit(ask, 0);
   cr_assert_eq(entered.may_go_on.size(), 1);
-  cr_assert_not(entered.turned_away);
+  cr_assert_not(entered.refused);
 }
 
 }  // namespace yuccawick::tests
--- a/tests/turn_limit_test.cc
+++ b/tests/turn_limit_test.cc
@@ -12,31 +12,31 @@
 #include <string>
 #include <vector>
 
-#include "yuccawick/gateway/turn_gate.h"
+#include "yuccawick/gateway/turn_dispatcher.h"
 
 namespace yuccawick::tests {
 namespace {
 
-using gateway::TurnGate;
+using gateway::TurnDispatcher;
 using net::Duration;
 using net::Time;
-using traffic::TurnLimit;
-using traffic::TurnLimitSettings;
+using traffic::ConcurrencyLimit;
+using traffic::ConcurrencyLimitSettings;
 
 // The limit sets in where first events miss their objective.
-constexpr TurnLimitSettings kOn{1.0};
-constexpr unsigned          kSeeds = 5;
-constexpr int               kServers = 12;
-constexpr int               kSlots = 6;
+constexpr ConcurrencyLimitSettings kOn{1.0};
+constexpr unsigned                 kSeeds = 5;
+constexpr int                      kServers = 12;
+constexpr int                      kSlots = 6;
 // ms until the first event at an idle server, and at one whose slots are full.
-constexpr Duration          kFirst = 50;
-constexpr Duration          kFirstFull = 100;
+constexpr Duration                 kFirst = 50;
+constexpr Duration                 kFirstFull = 100;
 // Within what time first events are to come, in ms.
-constexpr Duration          kObjective = 200;
-constexpr Duration          kTurn = 160;  // ms that a turn holds its slot
-constexpr int               kNodes = 6;
-constexpr int               kTurnsOfProgram = 6;
-constexpr Duration          kTool = 30;  // ms between two turns
+constexpr Duration                 kObjective = 200;
+constexpr Duration kTurn = 160;  // ms that a turn holds its slot
+constexpr int      kNodes = 6;
+constexpr int      kTurnsOfProgram = 6;
+constexpr Duration kTool = 30;  // ms between two turns
 
 // Servers with slots, each with a queue in the order of coming; nodes with a
 // gate each, or none; programs of some turns, one after the other. A step of
@@ -46,7 +46,7 @@
   Burst(unsigned seed, bool gates)
       : m_random(seed), m_loop([this] { return m_now; }), m_gates_on(gates) {
     for (int i = 0; i < kNodes; ++i) {
-      m_gates.push_back(std::make_unique<TurnGate>(&m_loop, kOn));
+      m_gates.push_back(std::make_unique<TurnDispatcher>(&m_loop, kOn));
     }
   }
 
@@ -91,11 +91,11 @@
   static constexpr Duration kAim = kTurnsOfProgram * (kTurn + kTool) * 3 / 2;
 
   struct Program {
-    std::string  id;
-    Time         began = 0;
-    Time         ended = 0;
-    int          turns = 0;
-    TurnGate::Id at_gate = 0;
+    std::string        id;
+    Time               began = 0;
+    Time               ended = 0;
+    int                turns = 0;
+    TurnDispatcher::Id at_gate = 0;
   };
   struct Server {
     std::vector<std::pair<Time, std::size_t>> running;  // until, program
@@ -110,7 +110,7 @@
     NextTurn(m_programs.size() - 1);
   }
 
-  TurnGate& GateOf(std::size_t program) {
+  TurnDispatcher& GateOf(std::size_t program) {
     // Another node for each turn.
     return *m_gates[(program +
                      static_cast<std::size_t>(m_programs[program].turns)) %
@@ -125,8 +125,8 @@
     Program&       program = m_programs[number];
     const Duration left = kAim - (m_now - program.began);
     program.at_gate =
-        GateOf(number).Enter("llm", traffic::PlaceOf(program.id, 0, left),
-                             kObjective, [this, number] { Send(number); });
+        GateOf(number).Enqueue("llm", traffic::QueueRank(program.id, 0, left),
+                               kObjective, [this, number] { Send(number); });
   }
 
   // To a server by chance, the less busy of two: news of others are old.
@@ -164,7 +164,7 @@
 
   void EndTurn(std::size_t number) {
     Program& program = m_programs[number];
-    if (m_gates_on) GateOf(number).Leave(&program.at_gate);
+    if (m_gates_on) GateOf(number).Release(&program.at_gate);
     if (++program.turns == kTurnsOfProgram) {
       program.ended = m_now;
       return;
@@ -188,7 +188,7 @@
   Time                                              m_now = 0;
   net::EventLoop                                    m_loop;
   bool                                              m_gates_on;
-  std::vector<std::unique_ptr<TurnGate>>            m_gates;
+  std::vector<std::unique_ptr<TurnDispatcher>>      m_gates;
   std::vector<Program>                              m_programs;
   std::array<Server, kServers>                      m_servers;
   std::multimap<Time, std::pair<std::size_t, bool>> m_due;
@@ -235,9 +235,9 @@
 }
 
 Test(TurnLimits, FirstEventsGrowSlow_LimitFallsAndGrowsAgain) {
-  TurnLimit  limit(kOn);
-  Time       now = 1000;
-  const auto observe = [&](Duration took, int under_way, int rounds) {
+  ConcurrencyLimit limit(kOn);
+  Time             now = 1000;
+  const auto       observe = [&](Duration took, int under_way, int rounds) {
     for (int i = 0; i < rounds; ++i) {
       now += 20;
       limit.Observe(took, 120, now);
@@ -255,7 +255,7 @@
 }
 
 Test(TurnLimits, NotSwitchedOn_NobodyIsHeld) {
-  TurnLimit limit({});
+  ConcurrencyLimit limit({});
   for (Time now = 1000; now < 3000; now += 10) {
     limit.Observe(5000, 120, now);
     cr_assert(limit.MayStart(1000, now));
@@ -265,8 +265,8 @@
 // The limit never keeps a node from sending at all, or it would not learn that
 // the servers are quick again.
 Test(TurnLimits, ServersSlowForLong_SomeTurnsAreAlwaysSent) {
-  TurnLimit limit(kOn);
-  Time      now = 1000;
+  ConcurrencyLimit limit(kOn);
+  Time             now = 1000;
   for (int i = 0; i < 500; ++i) {
     now += 20;
     limit.Observe(i < 20 ? 50 : 3000, 120, now);
@@ -276,49 +276,49 @@
 }
 
 Test(TurnLimits, PlacesOfPrograms_AreTheSameEverywhereAndLateOnesLast) {
-  const double place = traffic::PlaceOf("w\nprogram", 0, 500);
-  cr_assert_eq(place, traffic::PlaceOf("w\nprogram", 0, 20));
+  const double place = traffic::QueueRank("w\nprogram", 0, 500);
+  cr_assert_eq(place, traffic::QueueRank("w\nprogram", 0, 20));
   cr_assert_geq(place, 0);
   cr_assert_lt(place, 1);
-  cr_assert_lt(place, traffic::PlaceOf("w\nprogram", 1, 500));
-  cr_assert_gt(traffic::PlaceOf("w\nprogram", 0, 0),
-               traffic::PlaceOf("w\nother", 5, 1));
+  cr_assert_lt(place, traffic::QueueRank("w\nprogram", 1, 500));
+  cr_assert_gt(traffic::QueueRank("w\nprogram", 0, 0),
+               traffic::QueueRank("w\nother", 5, 1));
 }
 
 // Who waits and gives up leaves no trace; who goes makes room for the next.
 Test(TurnGates, TurnsThatWaitLeaveOrGo_InTheirOrder) {
-  Time                      now = 1000;
-  net::EventLoop            loop([&now] { return now; });
-  TurnGate                  gate(&loop, kOn);
-  std::vector<TurnGate::Id> sent;
+  Time                            now = 1000;
+  net::EventLoop                  loop([&now] { return now; });
+  TurnDispatcher                  gate(&loop, kOn);
+  std::vector<TurnDispatcher::Id> sent;
   // First events after 50 ms, then after 600: the limit sets in.
   for (const int took : {50, 600}) {
     const std::size_t first = sent.size();
     for (int i = 0; i < 8; ++i)
-      sent.push_back(gate.Enter("llm", 0, 120, [] {}));
+      sent.push_back(gate.Enqueue("llm", 0, 120, [] {}));
     now += took;
     loop.RunOnce(0);
     for (std::size_t i = first; i < sent.size(); ++i) gate.FirstEvent(sent[i]);
   }
   cr_assert_eq(gate.waiting(), 0);
-  std::vector<char> went;
-  TurnGate::Id      b =
-      gate.Enter("llm", 0.5, 120, [&went] { went.push_back('b'); });
-  TurnGate::Id c =
-      gate.Enter("llm", 0.9, 120, [&went] { went.push_back('c'); });
-  TurnGate::Id a =
-      gate.Enter("llm", 0.1, 120, [&went] { went.push_back('a'); });
+  std::vector<char>  went;
+  TurnDispatcher::Id b =
+      gate.Enqueue("llm", 0.5, 120, [&went] { went.push_back('b'); });
+  TurnDispatcher::Id c =
+      gate.Enqueue("llm", 0.9, 120, [&went] { went.push_back('c'); });
+  TurnDispatcher::Id a =
+      gate.Enqueue("llm", 0.1, 120, [&went] { went.push_back('a'); });
   cr_assert(went.empty());
   cr_assert_eq(gate.waiting(), 3);
-  gate.Leave(&b);
+  gate.Release(&b);
   cr_assert_eq(gate.waiting(), 2);
-  for (TurnGate::Id& id : sent) gate.Leave(&id);
+  for (TurnDispatcher::Id& id : sent) gate.Release(&id);
   loop.RunOnce(0);
   cr_assert_eq(went.size(), 2);
   cr_assert_eq(went[0], 'a');
   cr_assert_eq(went[1], 'c');
-  gate.Leave(&a);
-  gate.Leave(&c);
+  gate.Release(&a);
+  gate.Release(&c);
 }
 
 }  // namespace yuccawick::tests
