--- a/src/yuccawick/core/durability.h
+++ b/src/yuccawick/core/durability.h
@@ -1,4 +1,4 @@
-// MemoryCharge what a home has done safely before it says so.
+// Holding what a home has done safely before it says so.
 //
 // A delta is held once either
 //   - every assigned replica, each in another availability zone, has
--- a/tests/schedule_test.cc
+++ b/tests/schedule_test.cc
@@ -73,7 +73,7 @@
       case Kind::kKill:
         return Replace(node);
       case Kind::kFreeze:
-        CountSendFailure(node);
+        CountLoss(node);
         group.Freeze(node);
         m_frozen.insert(node);
         return;
@@ -96,7 +96,7 @@
       case Kind::kWait:
         return group.Advance(kWaitUnit * (step.a + 1));
       case Kind::kStop:
-        CountSendFailure(node);
+        CountLoss(node);
         if (group.IsRunning(node) && !m_frozen.contains(node)) group.Stop(node);
         return;
     }
@@ -173,7 +173,7 @@
   }
 
   void Replace(const std::string& node) {
-    CountSendFailure(node);
+    CountLoss(node);
     if (m_s.group.IsRunning(node)) m_s.group.Kill(node);
     m_frozen.erase(node);
     m_s.group.Advance(200);
@@ -182,7 +182,7 @@
 
   // Two homes may be lost at once; then there is calm for as long as it takes
   // to copy everything to new replicas. More at once is a known limit.
-  void CountSendFailure(const std::string& node) {
+  void CountLoss(const std::string& node) {
     if (!node.starts_with("model") || ++m_losses % 2 == 0) return;
     Heal();
     m_s.group.SetFilter({});
