--- a/src/yuccawick/admission/admission_controller.cc
+++ b/src/yuccawick/admission/admission_controller.cc
@@ -4,23 +4,22 @@
 #include <cmath>
 #include <utility>
 
-// Index: Asking, Turns, Programs, Other homes.
-
 namespace yuccawick::admission {
 namespace {
 
-// Programs that were silent for long are remembered as known for this long, so
-// that their next turn counts as one of a program under way.
-constexpr Duration    kMemory = 10'000;
-// Nobody waits longer for a turn; one that is under way then was lost.
-constexpr Duration    kLongestTurn = 60'000;
-constexpr std::size_t kMostRoutes = 256;
-constexpr double      kMemoryWhenIdle = 2.0;
-constexpr double      kLeastNeeds = 0.5;
-constexpr double      kMostNeeds = 0.8;
-
-Duration Part(Duration whole, double part) {
-  return static_cast<Duration>(static_cast<double>(whole) * part);
+// Idle programs are still remembered for this long (ms), so that their next
+// turn counts as a turn of a running program.
+constexpr Duration    kEndedProgramTtl = 10'000;
+// Upper bound on the duration of a turn, in ms. A turn that runs longer is
+// taken for lost.
+constexpr Duration    kMaxTurnDuration = 60'000;
+constexpr std::size_t kMaxRoutes = 256;
+constexpr double      kIdleMemoryFactor = 2.0;
+constexpr double      kMinTimeNeeded = 0.5;
+constexpr double      kMaxTimeNeeded = 0.8;
+
+Duration Scale(Duration whole, double factor) {
+  return static_cast<Duration>(static_cast<double>(whole) * factor);
 }
 
 }  // namespace
@@ -33,204 +32,220 @@
 }
 
 AdmissionController::AdmissionController(const AdmissionSettings*  settings,
-                                         fairness::FairnessPolicy* share,
+                                         fairness::FairnessPolicy* policy,
                                          Time                      started)
-    : m_settings(settings), m_share(share), m_started(started) {}
+    : m_settings(settings), m_policy(policy), m_started(started) {}
 
-// Asking ---------------------------------------------------------------------
+// Admission -------------------------------------------------------------------
 
 AdmissionDecision AdmissionController::TryAdmit(
-    const AdmissionRequest& ask, const capacity::ServiceCapacity& room,
+    const AdmissionRequest& request, const capacity::ServiceCapacity& capacity,
     Time now) {
-  const auto known = m_programs.find(ask.program);
+  const auto known = m_programs.find(request.program);
   if (known != m_programs.end()) {
-    AddTurn(&known->second, ask, now);
+    AddTurn(&known->second, request, now);
     return {};
   }
-  const bool counts = m_settings->slot_overcommit > 0 && room.known();
-  if (counts && !ask.under_way) {
-    const RetryList::Entry* sent_away = m_returns.Find(ask.program);
-    const auto              slack = SlackOf(ask, sent_away);
+  const bool is_limited = m_settings->slot_overcommit > 0 && capacity.known();
+  if (is_limited && !request.under_way) {
+    const RetryList::Entry* retry_entry = m_retries.Find(request.program);
+    const auto              slack = SlackOf(request, retry_entry);
     const bool              late = slack && *slack <= 0;
-    if (!Fits(ask, slack, sent_away != nullptr, room, now)) {
-      const int      before = sent_away == nullptr ? 0 : sent_away->refusals;
-      const Duration retry = RetryAfter(slack, before, now);
-      m_returns.Put(ask.program, ask.left, late, retry, now);
+    if (!Fits(request, slack, retry_entry != nullptr, capacity, now)) {
+      const int earlier_refusals =
+          retry_entry == nullptr ? 0 : retry_entry->refusals;
+      const Duration delay = ComputeRetryDelay(slack, earlier_refusals, now);
+      m_retries.Put(request.program, request.left, late, delay, now);
       ++m_refused;
-      return {false, retry};
+      return {false, delay};
     }
   }
-  m_returns.Remove(ask.program);
-  Begin(ask, now);
+  m_retries.Remove(request.program);
+  AdmitProgram(request, now);
   return {};
 }
 
-// Programs state a time that suits what they are going to do, so a long one is
-// not late for being long, only for having waited.
+// Clients choose the deadline to fit the length of their program, so a long
+// program is late only if it has spent time waiting.
 std::optional<Duration> AdmissionController::SlackOf(
-    const AdmissionRequest& ask, const RetryList::Entry* sent_away) {
-  if (!ask.left) return std::nullopt;
-  const Duration stated =
-      sent_away == nullptr ? *ask.left : sent_away->stated.value_or(*ask.left);
-  return *ask.left - Part(stated, ProfileOf(ask.route).TimeShare());
+    const AdmissionRequest& request, const RetryList::Entry* retry_entry) {
+  if (!request.left) return std::nullopt;
+  const Duration initial_time_left =
+      retry_entry == nullptr
+          ? *request.left
+          : retry_entry->initial_time_left.value_or(*request.left);
+  return *request.left -
+         Scale(initial_time_left, ProfileOf(request.route).TimeShare());
 }
 
-// With more turns under way each takes longer: a program may begin while it
-// would still be in time, in the part of its time that it does not need.
-double AdmissionController::MostPlaces(const AdmissionRequest& ask, bool late) {
-  if (!ask.left || late) return m_settings->slot_overcommit;
-  // What is learned while servers are overloaded is more than programs need.
-  const double needs =
-      std::clamp(ProfileOf(ask.route).TimeShare(), kLeastNeeds, kMostNeeds);
-  return m_settings->slot_overcommit / needs;
+// A turn takes longer when more turns run. A program with slack accepts that,
+// so it may be admitted at a higher overcommit.
+double AdmissionController::MaxSlots(const AdmissionRequest& request,
+                                     bool                    late) {
+  if (!request.left || late) return m_settings->slot_overcommit;
+  // Time shares observed during overload overestimate what a program needs.
+  const double time_needed = std::clamp(ProfileOf(request.route).TimeShare(),
+                                        kMinTimeNeeded, kMaxTimeNeeded);
+  return m_settings->slot_overcommit / time_needed;
 }
 
-bool AdmissionController::Fits(const AdmissionRequest& ask,
-                               std::optional<Duration> slack, bool returns,
-                               const capacity::ServiceCapacity& room,
+bool AdmissionController::Fits(const AdmissionRequest& request,
+                               std::optional<Duration> slack, bool is_retrying,
+                               const capacity::ServiceCapacity& capacity,
                                Time                             now) {
   const bool    late = slack && *slack <= 0;
-  CapacityUsage use = TotalUse(now);
-  use.slots += 1;
-  use.memory += LikelyTokens(ask);
-  const auto memory = static_cast<double>(use.memory);
-  const auto most_memory = static_cast<double>(room.memory);
-  if (use.slots <= room.slots * m_settings->idle) {
+  CapacityUsage usage = TotalUse(now);
+  usage.slots += 1;
+  usage.memory += EstimateTokens(request);
+  const auto memory = static_cast<double>(usage.memory);
+  const auto max_memory = static_cast<double>(capacity.memory);
+  if (usage.slots <= capacity.slots * m_settings->idle) {
     return memory <=
-           most_memory * std::max(kMemoryWhenIdle, m_settings->memory);
+           max_memory * std::max(kIdleMemoryFactor, m_settings->memory);
   }
   if (now - m_started < m_settings->settling) return false;
-  double share = m_share->AdmissionThreshold(
-      {ask.workspace, ask.route, ask.priority, late}, now);
-  if (late) share = std::min(share, m_settings->late);
-  // Those that came before and can still be in time go first.
-  const auto kept =
-      returns && !late ? 0.0 : static_cast<double>(m_returns.CountDue(now));
-  const auto kept_memory = kept * static_cast<double>(LikelyTokens(ask));
-  return use.slots + kept <= room.slots * MostPlaces(ask, late) * share &&
-         memory + kept_memory <= most_memory * m_settings->memory * share;
+  double threshold = m_policy->AdmissionThreshold(
+      {request.workspace, request.route, request.priority, late}, now);
+  if (late) threshold = std::min(threshold, m_settings->late);
+  // Retrying programs that can still finish in time go before new ones.
+  const auto due_retries =
+      is_retrying && !late ? 0.0 : static_cast<double>(m_retries.CountDue(now));
+  const auto due_memory =
+      due_retries * static_cast<double>(EstimateTokens(request));
+  return usage.slots + due_retries <=
+             capacity.slots * MaxSlots(request, late) * threshold &&
+         memory + due_memory <= max_memory * m_settings->memory * threshold;
 }
 
-// Room for those ahead comes free as programs end. Who can still be in time is
-// to ask twice more before that is over; it goes before those that can't. A
-// client has few tries: each refusal doubles the time to the next one, or all
-// would be used up before the shortest burst is over.
-Duration AdmissionController::RetryAfter(std::optional<Duration> slack,
-                                         int refusals, Time now) const {
-  constexpr int kMostDoublings = 4;
+// Capacity for the programs ahead becomes free as programs end. A program that
+// can still finish in time retries at least twice more before its slack is used
+// up. Each refusal doubles the minimum delay, so that a client with few tries
+// does not spend them all within one short burst.
+Duration AdmissionController::ComputeRetryDelay(std::optional<Duration> slack,
+                                                int refusals, Time now) const {
+  constexpr int kMaxDoublings = 4;
   const bool    late = slack && *slack <= 0;
-  const auto ahead = static_cast<double>(m_returns.CountAhead(late, now) + 1);
-  const auto gap = m_end_gap.empty() ? 0.0 : m_end_gap.value();
-  Duration   most = m_settings->max_retry_delay;
-  if (slack && !late) most = std::min(most, *slack / 3);
-  const Duration least = std::min(
-      m_settings->min_retry_delay << std::min(refusals, kMostDoublings),
-      m_settings->max_retry_delay);
-  return std::clamp(static_cast<Duration>(ahead * gap), least,
-                    std::max(least, most));
+  const auto ahead = static_cast<double>(m_retries.CountAhead(late, now) + 1);
+  const auto interval = m_end_interval.empty() ? 0.0 : m_end_interval.value();
+  Duration   max_delay = m_settings->max_retry_delay;
+  if (slack && !late) max_delay = std::min(max_delay, *slack / 3);
+  const Duration min_delay =
+      std::min(m_settings->min_retry_delay << std::min(refusals, kMaxDoublings),
+               m_settings->max_retry_delay);
+  return std::clamp(static_cast<Duration>(ahead * interval), min_delay,
+                    std::max(min_delay, max_delay));
 }
 
 Duration AdmissionController::RetryDelay(const std::string& program,
                                          Time               now) const {
-  const RetryList::Entry* entry = m_returns.Find(program);
+  const RetryList::Entry* entry = m_retries.Find(program);
   if (entry == nullptr) return m_settings->min_retry_delay;
-  return std::max((entry->from + entry->until) / 2 - now,
+  return std::max((entry->earliest + entry->latest) / 2 - now,
                   m_settings->min_retry_delay);
 }
 
 RouteProfile& AdmissionController::ProfileOf(const std::string& route) {
   const auto found = m_profiles.find(route);
   if (found != m_profiles.end()) return found->second;
-  if (m_profiles.size() >= kMostRoutes) m_profiles.erase(m_profiles.begin());
+  if (m_profiles.size() >= kMaxRoutes) m_profiles.erase(m_profiles.begin());
   return m_profiles.emplace(route, RouteProfile(m_settings->default_think_time))
       .first->second;
 }
 
-Tokens AdmissionController::LikelyTokens(const AdmissionRequest& ask) {
-  return std::max(ask.prompt_tokens + ask.max_tokens,
-                  ProfileOf(ask.route).EndTokens());
+Tokens AdmissionController::EstimateTokens(const AdmissionRequest& request) {
+  return std::max(request.prompt_tokens + request.max_tokens,
+                  ProfileOf(request.route).FinalTokens());
 }
 
 int AdmissionController::TakeRefusedCount() {
   return std::exchange(m_refused, 0);
 }
 
-// Turns ----------------------------------------------------------------------
-
-void AdmissionController::Begin(const AdmissionRequest& ask, Time now) {
-  Program& program = m_programs[ask.program];
-  program.partition = ask.partition;
-  program.route = ask.route;
-  program.workspace = ask.workspace;
-  program.began = now;
-  program.stated = std::max<Duration>(0, ask.left.value_or(0));
-  program.changed = now;
-  AddTurn(&program, ask, now);
-  m_begun += {1, 1, program.held};
+// Turns -----------------------------------------------------------------------
+
+void AdmissionController::AdmitProgram(const AdmissionRequest& request,
+                                       Time                    now) {
+  Program& program = m_programs[request.program];
+  program.partition = request.partition;
+  program.route = request.route;
+  program.workspace = request.workspace;
+  program.admitted_at = now;
+  program.initial_time_left = std::max<Duration>(0, request.left.value_or(0));
+  program.turns_changed_at = now;
+  AddTurn(&program, request, now);
+  m_admitted += {1, 1, program.reserved_memory};
 }
 
-void AdmissionController::AddTurn(Program* program, const AdmissionRequest& ask,
-                                  Time now) {
-  if (program->turns == 0 && program->changed < now) {
-    ProfileOf(program->route).ObserveThinkTime(now - program->changed);
+void AdmissionController::AddTurn(Program*                program,
+                                  const AdmissionRequest& request, Time now) {
+  if (program->running_turns == 0 && program->turns_changed_at < now) {
+    ProfileOf(program->route).ObserveThinkTime(now - program->turns_changed_at);
   }
-  program->work += program->turns * static_cast<double>(now - program->changed);
-  program->changed = now;
-  ++program->turns;
-  m_own[program->partition].slots += 1;
-  program->tokens = std::max(program->tokens, ask.prompt_tokens);
-  Hold(program);
+  program->uncharged_work +=
+      program->running_turns *
+      static_cast<double>(now - program->turns_changed_at);
+  program->turns_changed_at = now;
+  ++program->running_turns;
+  m_local_usage[program->partition].slots += 1;
+  program->peak_tokens = std::max(program->peak_tokens, request.prompt_tokens);
+  UpdateReservation(program);
 }
 
-void AdmissionController::OnTurnEnded(const AdmissionRequest& ask, Tokens used,
-                                      Time now) {
-  const auto found = m_programs.find(ask.program);
-  if (found == m_programs.end() || found->second.turns == 0) return;
+void AdmissionController::OnTurnEnded(const AdmissionRequest& request,
+                                      Tokens generated, Time now) {
+  const auto found = m_programs.find(request.program);
+  if (found == m_programs.end() || found->second.running_turns == 0) return;
   Program& program = found->second;
-  program.tokens = std::max(program.tokens, ask.prompt_tokens + used);
+  program.peak_tokens =
+      std::max(program.peak_tokens, request.prompt_tokens + generated);
   EndTurn(&program, now);
-  m_share->Charge(program.workspace, std::exchange(program.work, 0.0), now);
-  Hold(&program);
+  m_policy->Charge(program.workspace,
+                   std::exchange(program.uncharged_work, 0.0), now);
+  UpdateReservation(&program);
 }
 
-void AdmissionController::CancelAdmission(const AdmissionRequest& ask,
+void AdmissionController::CancelAdmission(const AdmissionRequest& request,
                                           Time                    now) {
-  const auto found = m_programs.find(ask.program);
-  if (found == m_programs.end() || found->second.turns == 0) return;
+  const auto found = m_programs.find(request.program);
+  if (found == m_programs.end() || found->second.running_turns == 0) return;
   EndTurn(&found->second, now);
 }
 
 void AdmissionController::EndTurn(Program* program, Time now) {
-  program->work += program->turns * static_cast<double>(now - program->changed);
-  program->changed = now;
-  --program->turns;
-  m_own[program->partition].slots -= 1;
+  program->uncharged_work +=
+      program->running_turns *
+      static_cast<double>(now - program->turns_changed_at);
+  program->turns_changed_at = now;
+  --program->running_turns;
+  m_local_usage[program->partition].slots -= 1;
 }
 
-// Programs -------------------------------------------------------------------
+// Programs --------------------------------------------------------------------
 
-void AdmissionController::Hold(Program* program) {
-  if (!program->counted) {
-    program->counted = true;
-    ++m_own[program->partition].programs;
+void AdmissionController::UpdateReservation(Program* program) {
+  if (!program->is_counted) {
+    program->is_counted = true;
+    ++m_local_usage[program->partition].programs;
   }
-  const Tokens held =
-      std::max(program->tokens, ProfileOf(program->route).EndTokens());
-  m_own[program->partition].memory += held - program->held;
-  program->held = held;
+  const Tokens reserved_memory =
+      std::max(program->peak_tokens, ProfileOf(program->route).FinalTokens());
+  m_local_usage[program->partition].memory +=
+      reserved_memory - program->reserved_memory;
+  program->reserved_memory = reserved_memory;
 }
 
 void AdmissionController::Release(Program* program) {
-  program->counted = false;
-  CapacityUsage& use = m_own[program->partition];
-  --use.programs;
-  use.memory -= std::exchange(program->held, 0);
+  program->is_counted = false;
+  CapacityUsage& usage = m_local_usage[program->partition];
+  --usage.programs;
+  usage.memory -= std::exchange(program->reserved_memory, 0);
   ProfileOf(program->route)
-      .ObserveEnd(program->tokens, program->changed - program->began,
-                  program->stated);
+      .ObserveEnd(program->peak_tokens,
+                  program->turns_changed_at - program->admitted_at,
+                  program->initial_time_left);
 }
 
-Duration AdmissionController::LongestSilence(const Program& program) {
+Duration AdmissionController::IdleTimeout(const Program& program) {
   return static_cast<Duration>(
       m_settings->think_time_factor *
       static_cast<double>(ProfileOf(program.route).MaxThinkTime()));
@@ -239,63 +254,68 @@
 void AdmissionController::Sweep(Time now) {
   int ended = 0;
   for (auto& [name, program] : m_programs) {
-    const Duration unchanged = now - program.changed;
-    if (unchanged > kLongestTurn) {
-      m_own[program.partition].slots -= std::exchange(program.turns, 0);
+    const Duration unchanged_for = now - program.turns_changed_at;
+    if (unchanged_for > kMaxTurnDuration) {
+      m_local_usage[program.partition].slots -=
+          std::exchange(program.running_turns, 0);
     }
-    const bool silent = program.turns == 0 && program.counted &&
-                        unchanged > LongestSilence(program);
-    if (!silent) continue;
+    const bool is_idle = program.running_turns == 0 && program.is_counted &&
+                         unchanged_for > IdleTimeout(program);
+    if (!is_idle) continue;
     Release(&program);
     ++ended;
   }
   if (ended > 0) {
-    // After a lull the gap says nothing of the rate when there is no room.
-    const Duration since =
-        std::min(now - m_ended_at, m_settings->max_retry_delay);
-    const auto gap = static_cast<double>(since) / ended;
-    for (int i = 0; i < ended; ++i) m_end_gap.Observe(gap);
-    m_ended_at = now;
+    // The interval is capped, because after an idle period it does not reflect
+    // the rate at which capacity becomes free under load.
+    const Duration elapsed =
+        std::min(now - m_last_end, m_settings->max_retry_delay);
+    const auto interval = static_cast<double>(elapsed) / ended;
+    for (int i = 0; i < ended; ++i) m_end_interval.Observe(interval);
+    m_last_end = now;
   }
   std::erase_if(m_programs, [now](const auto& each) {
     const Program& program = each.second;
-    return !program.counted && now - program.changed > kMemory;
+    return !program.is_counted &&
+           now - program.turns_changed_at > kEndedProgramTtl;
   });
-  m_returns.Sweep(now);
+  m_retries.Sweep(now);
 }
 
-// Other homes ----------------------------------------------------------------
+// Peers -----------------------------------------------------------------------
 
 CapacityUsage AdmissionController::LocalUsage() const {
   CapacityUsage own;
-  for (const auto& [partition, use] : m_own) own += use;
+  for (const auto& [partition, usage] : m_local_usage) own += usage;
   return own;
 }
 
-void AdmissionController::SetPeerUsage(const std::string&      home,
-                                       const UsageByPartition& uses, Time now) {
-  m_homes[home] = {uses, now, m_begun};
+void AdmissionController::SetPeerUsage(const std::string&      peer,
+                                       const UsageByPartition& usage,
+                                       Time                    now) {
+  m_peers[peer] = {usage, now, m_admitted};
 }
 
 CapacityUsage AdmissionController::TotalUse(Time now) const {
-  UsageByPartition parts = m_own;
+  UsageByPartition parts = m_local_usage;
   CapacityUsage    total;
-  for (const auto& [name, home] : m_homes) {
-    if (now - home.heard > m_settings->usage_report_ttl) continue;
-    for (const auto& [partition, use] : home.uses) {
-      // A turn is counted by the home that let it in; a program by each home
-      // that one of its turns came to.
-      CapacityUsage& part = parts[partition];
-      part.programs = std::max(part.programs, use.programs);
-      part.slots += use.slots;
-      part.memory = std::max(part.memory, use.memory);
+  for (const auto& [name, peer] : m_peers) {
+    if (now - peer.received_at > m_settings->usage_report_ttl) continue;
+    for (const auto& [partition, usage] : peer.usage) {
+      // A turn is counted by the coordinator that admitted it, a program by
+      // every coordinator that received one of its turns.
+      CapacityUsage& merged = parts[partition];
+      merged.programs = std::max(merged.programs, usage.programs);
+      merged.slots += usage.slots;
+      merged.memory = std::max(merged.memory, usage.memory);
     }
-    // What begins here without its knowledge begins there as well.
-    total += {m_begun.programs - home.begun_before.programs,
-              m_begun.slots - home.begun_before.slots,
-              m_begun.memory - home.begun_before.memory};
+    // The peer's report does not include what was admitted here after it
+    // arrived. Assume that the peer admitted as much in the meantime.
+    total += {m_admitted.programs - peer.admitted_before.programs,
+              m_admitted.slots - peer.admitted_before.slots,
+              m_admitted.memory - peer.admitted_before.memory};
   }
-  for (const auto& [partition, use] : parts) total += use;
+  for (const auto& [partition, usage] : parts) total += usage;
   return total;
 }
 
--- a/src/yuccawick/admission/admission_controller.h
+++ b/src/yuccawick/admission/admission_controller.h
@@ -1,33 +1,26 @@
-// Which programs may begin at a service's model servers.
+// Decides which programs may start at the model servers of a service.
 //
-// Load pattern: a burst fills the servers' memory with the prompts of programs
-// under way. One program more, and the prompts of those in their pauses are
-// evicted and running turns are preempted; each turn that comes back is read
-// again in front of the others, turns get longer, more programs are under way,
-// more is evicted. The burst ends and the state stays: the servers work as hard
-// as they can on prompts that they had read before. It is the thrashing of an
-// operating system that runs more processes than their working sets fit.
+// Without a limit, a burst fills the servers' memory with the prompts of more
+// programs than fit. Cached prompts of pausing programs are evicted, their next
+// turns recompute them, turns take longer, more programs overlap, and the
+// servers keep thrashing after the burst.
 //
-// So the unit is the program. One that has begun holds room, tokens at its
-// likely end and a place for each of its turns, until it is silent for longer
-// than its route's programs pause. A new one begins where its room is free;
-// else it is refused before any turn is wasted, and told when to come back.
-// Turns of programs under way are never refused here.
+// The unit of admission is the program. An admitted program reserves its
+// expected final tokens, and one slot for each running turn, until it has been
+// idle for longer than the think time of its route. A new program is admitted
+// while the capacity lasts; otherwise it is refused before its first turn, with
+// a retry delay. Turns of admitted programs are never refused.
 //
-// One AdmissionController counts the programs of one service that one home
-// counts the tokens of (gateway/token_coordinator.h); homes tell each other
-// what theirs take. All of it is soft state: a home that starts anew learns of
-// the programs under way by their next turns.
+// One AdmissionController counts the programs of one service on one coordinator
+// (gateway/token_coordinator.h); coordinators exchange their usage. All state
+// is soft: after a restart, programs are learned from their next turns.
 //
-//   TryAdmit               a turn wants to run; the answer is final for this
-//                          attempt
-//   OnTurnEnded            with the tokens that its program now has
-//   CancelAdmission        a turn that was let in did not run after all
-//   Sweep                  takes back the room of programs that were silent;
-//                          call it often
-//   LocalUsageByPartition  what the programs counted here take, for the other
-//                          homes
-//   SetPeerUsage           what another home said so
+//   TryAdmit               decides on a turn; final for this attempt
+//   OnTurnEnded            records the tokens that the turn generated
+//   CancelAdmission        undoes TryAdmit for a turn that did not run
+//   Sweep                  releases the capacity of idle programs; call often
+//   LocalUsageByPartition  usage counted here, to send to the peers
+//   SetPeerUsage           stores the usage that a peer reported
 #pragma once
 
 #include <cstdint>
@@ -45,87 +38,88 @@
 namespace yuccawick::admission {
 
 struct AdmissionSettings {
-  // Turns under way at which a program without time to spare begins, in places
-  // of the service: some wait for tokens or are on their way. More for those
-  // with time to spare, by as much as their turns may take longer. 0: programs
-  // are not counted, all begin.
+  // Running turns per slot of the service up to which a program without slack
+  // is admitted; programs with slack are admitted at a higher ratio. 0 turns
+  // admission control off.
   double   slot_overcommit = 1.6;
-  // Memory that programs under way may take at their likely ends, in the
-  // service's memory.
+  // Expected final tokens of the running programs, as a share of the memory of
+  // the service.
   double   memory = 1.0;
-  // Up to this part of the places a program begins also beyond `memory`, up to
-  // twice: servers that are half idle read an evicted prompt again at nobody's
-  // cost.
+  // Up to this share of the slots, programs are admitted beyond `memory`, up to
+  // twice the memory: half-idle servers can recompute an evicted prompt without
+  // delaying other turns.
   double   idle = 0.5;
-  // Part of the room for programs that can't finish in time any more.
+  // Share of the capacity for programs that can no longer finish in time.
   double   late = 0.8;
-  // ms after the start in which only idle places are given away: programs under
-  // way show with their next turns, after a pause.
+  // ms after the start in which only idle slots are granted, until the running
+  // programs have been learned from their next turns.
   Duration settling = 1000;
-  // Pauses of a route's programs until some were seen, in ms, and what is added
-  // to the longest usual one.
+  // Expected think time of a route before any was observed, in ms; and the
+  // factor applied to the observed think time to get the idle timeout.
   Duration default_think_time = 500;
   double   think_time_factor = 1.25;
-  // Bounds of the time after which a program may come back, in ms: a turn, and
-  // what clients wait of the few seconds that they have.
+  // Bounds of the retry delay, in ms.
   Duration min_retry_delay = 100;
   Duration max_retry_delay = 1200;
-  // ms for which the word of another home holds.
+  // ms for which a usage report of a peer is valid.
   Duration usage_report_ttl = 700;
 };
 
 struct AdmissionRequest {
   std::string             program;
-  std::string             service;        // empty: wants no room
-  int                     partition = 0;  // of programs, that it belongs to
+  std::string             service;  // empty: not subject to admission
+  int                     partition = 0;
   std::string             route;
-  std::string             workspace;          // empty: none
-  int                     priority = 0;       // 0 is first
-  bool                    under_way = false;  // known from before this turn
-  Tokens                  prompt_tokens = 0;  // but those that programs share
-  Tokens                  max_tokens = 0;     // that the turn may generate
-  std::optional<Duration> left;  // ms until the program should be finished
+  std::string             workspace;          // empty: no workspace
+  int                     priority = 0;       // 0 is most urgent
+  bool                    under_way = false;  // had turns before this one
+  Tokens                  prompt_tokens = 0;  // without shared prefixes
+  Tokens                  max_tokens = 0;     // limit of generated tokens
+  std::optional<Duration> left;               // ms to the program's deadline
 };
 
-// What programs take of a service.
+// Capacity of a service used by programs; memory in tokens.
 struct CapacityUsage {
   int    programs = 0;
-  double slots = 0;  // turns under way
+  double slots = 0;  // running turns
   Tokens memory = 0;
 
   bool           operator==(const CapacityUsage&) const = default;
   CapacityUsage& operator+=(const CapacityUsage& other);
 };
-using UsageByPartition = std::map<int, CapacityUsage>;  // by partition
+using UsageByPartition = std::map<int, CapacityUsage>;  // keyed by partition
 
 struct AdmissionDecision {
   bool     admitted = true;
-  Duration retry_delay =
-      0;  // ms until there will be room; spread by the caller
+  Duration retry_delay = 0;  // ms; the caller adds jitter
 };
 
 class AdmissionController {
  public:
   AdmissionController(const AdmissionSettings*  settings,
-                      fairness::FairnessPolicy* share, Time started);
+                      fairness::FairnessPolicy* policy, Time started);
 
-  AdmissionDecision TryAdmit(const AdmissionRequest&          ask,
-                             const capacity::ServiceCapacity& room, Time now);
-  // `used`: tokens that the turn generated.
-  void     OnTurnEnded(const AdmissionRequest& ask, Tokens used, Time now);
-  void     CancelAdmission(const AdmissionRequest& ask, Time now);
-  // Until a program that was refused should come back, in ms.
+  AdmissionDecision TryAdmit(const AdmissionRequest&          request,
+                             const capacity::ServiceCapacity& capacity,
+                             Time                             now);
+  // `generated`: tokens that the turn generated.
+  void OnTurnEnded(const AdmissionRequest& request, Tokens generated, Time now);
+  void CancelAdmission(const AdmissionRequest& request, Time now);
+  // ms after which a refused program should retry.
   Duration RetryDelay(const std::string& program, Time now) const;
   void     Sweep(Time now);
 
-  const UsageByPartition& LocalUsageByPartition() const { return m_own; }
-  CapacityUsage           LocalUsage() const;
-  void SetPeerUsage(const std::string& home, const UsageByPartition& uses,
+  const UsageByPartition& LocalUsageByPartition() const {
+    return m_local_usage;
+  }
+  CapacityUsage LocalUsage() const;
+  void SetPeerUsage(const std::string& peer, const UsageByPartition& usage,
                     Time now);
-  // Of all homes, as far as known. Programs whose partition moves from one home
-  // to another, or has two while nodes are cut off, are seen by both.
+  // Usage of all coordinators, as far as it is known. A program whose partition
+  // is moving, or is served by two coordinators during a network partition, is
+  // counted by both.
   CapacityUsage TotalUse(Time now) const;
-  // Refused since the last call.
+  // Programs refused since the last call.
   int           TakeRefusedCount();
   bool          empty() const { return m_programs.empty(); }
 
@@ -134,51 +128,53 @@
     int         partition = 0;
     std::string route;
     std::string workspace;
-    Time        began = 0;
-    Duration    stated = 0;   // time that it had then; 0: not said
-    Tokens      tokens = 0;   // after its largest turn
-    Tokens      held = 0;     // of the memory; counted in m_own
-    int         turns = 0;    // under way
-    Time        changed = 0;  // `turns`
-    double      work = 0;     // ms of places since it was last charged
-    bool        counted = false;
+    Time        admitted_at = 0;
+    Duration    initial_time_left = 0;  // ms at admission; 0: no deadline
+    Tokens      peak_tokens = 0;        // after its largest turn
+    Tokens      reserved_memory = 0;    // tokens; included in m_local_usage
+    int         running_turns = 0;
+    Time        turns_changed_at = 0;  // last change of running_turns
+    double      uncharged_work = 0;    // ms of slot time since last charge
+    bool        is_counted = false;
   };
-  struct Home {
-    UsageByPartition uses;
-    Time             heard = 0;
-    CapacityUsage    begun_before;  // here, when it was heard
+  struct Peer {
+    UsageByPartition usage;
+    Time             received_at = 0;
+    CapacityUsage    admitted_before;  // m_admitted at that time
   };
 
-  double   MostPlaces(const AdmissionRequest& ask, bool late);
-  bool     Fits(const AdmissionRequest& ask, std::optional<Duration> slack,
-                bool returns, const capacity::ServiceCapacity& room, Time now);
-  // `refusals`: those before this one.
-  Duration RetryAfter(std::optional<Duration> slack, int refusals,
-                      Time now) const;
-  // What it may still wait and be in time; nothing: it has no time to keep.
-  std::optional<Duration> SlackOf(const AdmissionRequest& ask,
-                                  const RetryList::Entry* sent_away);
+  double   MaxSlots(const AdmissionRequest& request, bool late);
+  bool     Fits(const AdmissionRequest& request, std::optional<Duration> slack,
+                bool is_retrying, const capacity::ServiceCapacity& capacity,
+                Time now);
+  // `refusals`: earlier refusals of the program.
+  Duration ComputeRetryDelay(std::optional<Duration> slack, int refusals,
+                             Time now) const;
+  // How long the program can wait and still finish in time; nullopt if it has
+  // no deadline.
+  std::optional<Duration> SlackOf(const AdmissionRequest& request,
+                                  const RetryList::Entry* retry_entry);
   RouteProfile&           ProfileOf(const std::string& route);
-  Tokens                  LikelyTokens(const AdmissionRequest& ask);
-  void                    Begin(const AdmissionRequest& ask, Time now);
-  void     AddTurn(Program* program, const AdmissionRequest& ask, Time now);
+  Tokens                  EstimateTokens(const AdmissionRequest& request);
+  void     AdmitProgram(const AdmissionRequest& request, Time now);
+  void     AddTurn(Program* program, const AdmissionRequest& request, Time now);
   void     EndTurn(Program* program, Time now);
-  void     Hold(Program* program);
+  void     UpdateReservation(Program* program);
   void     Release(Program* program);
-  Duration LongestSilence(const Program& program);
+  Duration IdleTimeout(const Program& program);
 
   const AdmissionSettings*                 m_settings;
-  fairness::FairnessPolicy*                m_share;
+  fairness::FairnessPolicy*                m_policy;
   Time                                     m_started;
-  std::unordered_map<std::string, Program> m_programs;  // by name
-  RetryList                                m_returns;
-  std::map<std::string, RouteProfile>      m_profiles;  // by route
-  UsageByPartition                         m_own;
-  CapacityUsage                            m_begun;  // here, since the start
-  std::map<std::string, Home>              m_homes;  // the other ones, by node
-  RunningMean m_end_gap;  // ms between two programs' ends
-  Time        m_ended_at = 0;
-  int         m_refused = 0;
+  std::unordered_map<std::string, Program> m_programs;  // keyed by program id
+  RetryList                                m_retries;
+  std::map<std::string, RouteProfile>      m_profiles;  // keyed by route
+  UsageByPartition                         m_local_usage;
+  CapacityUsage                            m_admitted;      // since the start
+  std::map<std::string, Peer>              m_peers;         // keyed by node
+  RunningMean                              m_end_interval;  // ms between ends
+  Time                                     m_last_end = 0;
+  int                                      m_refused = 0;
 };
 
 }  // namespace yuccawick::admission
--- a/src/yuccawick/admission/retry_list.cc
+++ b/src/yuccawick/admission/retry_list.cc
@@ -5,17 +5,18 @@
 namespace yuccawick::admission {
 namespace {
 
-constexpr std::size_t kMost = 4096;
-// Clients come back after half to one and a half of what they were told, and
-// are some time under way.
-constexpr double      kEarliest = 0.5;
-constexpr double      kLatest = 1.5;
-constexpr Duration    kWay = 50;
-// A client may make a whole new attempt after the one that it gave up.
-constexpr Duration    kMemory = 2000;
+constexpr std::size_t kMaxEntries = 4096;
+// Clients retry after 0.5 to 1.5 times the given delay, plus the network delay
+// (ms).
+constexpr double      kMinDelayFactor = 0.5;
+constexpr double      kMaxDelayFactor = 1.5;
+constexpr Duration    kNetworkDelay = 50;
+// ms for which an entry is kept after its retry window, because a client may
+// start a new attempt after giving up the previous one.
+constexpr Duration    kRetention = 2000;
 
-Duration Part(Duration duration, double part) {
-  return static_cast<Duration>(static_cast<double>(duration) * part);
+Duration Scale(Duration duration, double factor) {
+  return static_cast<Duration>(static_cast<double>(duration) * factor);
 }
 
 }  // namespace
@@ -25,20 +26,22 @@
   return found == m_entries.end() ? nullptr : &found->second;
 }
 
-void RetryList::Put(const std::string& program, std::optional<Duration> left,
-                    bool late, Duration retry, Time now) {
-  if (m_entries.size() >= kMost && !m_entries.contains(program)) {
+void RetryList::Put(const std::string&      program,
+                    std::optional<Duration> time_left, bool late,
+                    Duration retry_delay, Time now) {
+  if (m_entries.size() >= kMaxEntries && !m_entries.contains(program)) {
     m_entries.erase(std::min_element(m_entries.begin(), m_entries.end(),
                                      [](const auto& a, const auto& b) {
-                                       return a.second.until < b.second.until;
+                                       return a.second.latest < b.second.latest;
                                      }));
   }
   const auto [entry, added] =
-      m_entries.try_emplace(program, Entry{now, left, late, 0, 0, 0});
+      m_entries.try_emplace(program, Entry{now, time_left, late, 0, 0, 0});
   entry->second.late = late;
   ++entry->second.refusals;
-  entry->second.from = now + Part(retry, kEarliest);
-  entry->second.until = now + Part(retry, kLatest) + kWay;
+  entry->second.earliest = now + Scale(retry_delay, kMinDelayFactor);
+  entry->second.latest =
+      now + Scale(retry_delay, kMaxDelayFactor) + kNetworkDelay;
 }
 
 void RetryList::Remove(const std::string& program) { m_entries.erase(program); }
@@ -46,7 +49,7 @@
 std::size_t RetryList::CountAhead(bool late, Time now) const {
   return static_cast<std::size_t>(
       std::count_if(m_entries.begin(), m_entries.end(), [&](const auto& each) {
-        return each.second.until > now && (late || !each.second.late);
+        return each.second.latest > now && (late || !each.second.late);
       }));
 }
 
@@ -54,13 +57,13 @@
   return static_cast<std::size_t>(
       std::count_if(m_entries.begin(), m_entries.end(), [&](const auto& each) {
         const Entry& entry = each.second;
-        return !entry.late && entry.from <= now && now < entry.until;
+        return !entry.late && entry.earliest <= now && now < entry.latest;
       }));
 }
 
 void RetryList::Sweep(Time now) {
   std::erase_if(m_entries, [now](const auto& each) {
-    return now - each.second.until > kMemory;
+    return now - each.second.latest > kRetention;
   });
 }
 
--- a/src/yuccawick/admission/retry_list.h
+++ b/src/yuccawick/admission/retry_list.h
@@ -1,9 +1,10 @@
-// Programs that were refused and told when to come back.
+// Programs that were refused and are expected to retry.
 //
-// The list knows when a program first asked, so that one that can no longer
-// finish in time is told from one that can, and how many come back before a
-// program that asks now. It holds room for those that can still finish in time
-// until they should have come. Its size is bounded; the oldest are forgotten.
+// Records when a program was first refused, which tells whether it can still
+// finish in time, and counts the retries expected before a given program.
+// Entries that can still finish in time have capacity reserved during their
+// retry window. The size is bounded: when full, the entry whose window ends
+// first is dropped.
 #pragma once
 
 #include <cstddef>
@@ -21,28 +22,29 @@
 class RetryList {
  public:
   struct Entry {
-    Time                    first = 0;  // asked
-    std::optional<Duration> stated;     // time that it had then
+    Time                    first_refused_at = 0;
+    std::optional<Duration> initial_time_left;  // ms left at the first refusal
     bool                    late = false;
     int                     refusals = 0;
-    Time                    from = 0;  // the earliest and the latest return
-    Time                    until = 0;
+    Time                    earliest = 0;  // retry window
+    Time                    latest = 0;
   };
 
   const Entry* Find(const std::string& program) const;
-  // Sent away now, to come back after about `retry`.
-  void Put(const std::string& program, std::optional<Duration> left, bool late,
-           Duration retry, Time now);
-  void Remove(const std::string& program);
-  // How many come back that go before a program that is, or is not, late.
+  // first retry expected
+  void        Put(const std::string& program, std::optional<Duration> time_left,
+                  bool late, Duration retry_delay, Time now);
+  void        Remove(const std::string& program);
+  // Number of pending retries that go before a program that is, or is not,
+  // late.
   std::size_t CountAhead(bool late, Time now) const;
-  // How many that are in time may come at any moment now.
+  // Number of programs in their retry window that can still finish in time.
   std::size_t CountDue(Time now) const;
   void        Sweep(Time now);
   std::size_t size() const { return m_entries.size(); }
 
  private:
-  std::unordered_map<std::string, Entry> m_entries;  // by program
+  std::unordered_map<std::string, Entry> m_entries;  // keyed by program id
 };
 
 }  // namespace yuccawick::admission
--- a/src/yuccawick/admission/route_profile.cc
+++ b/src/yuccawick/admission/route_profile.cc
@@ -6,53 +6,52 @@
 namespace yuccawick::admission {
 namespace {
 
-constexpr int    kMemory = 64;  // observations that a mean goes back
-constexpr double kStep = 0.2;   // of a quantile, on a logarithmic scale
-constexpr double kSilencePart = 0.98;
-// The faster third: with servers overloaded, most programs take longer than a
-// new one would if it were let in alone.
-constexpr double kTimePart = 0.67;
-constexpr double kFirstTimeShare = 0.6;
-constexpr double kMostTimeShare = 0.9;
+constexpr int    kMeanWindow = 64;     // observations
+constexpr double kQuantileStep = 0.2;  // step on a logarithmic scale
+constexpr double kThinkTimeQuantile = 0.98;
+constexpr double kTimeShareQuantile = 0.67;
+constexpr double kInitialTimeShare = 0.6;
+constexpr double kMaxTimeShare = 0.9;
 
 }  // namespace
 
 void RunningMean::Observe(double value) {
-  m_count = std::min(m_count + 1, kMemory);
+  m_count = std::min(m_count + 1, kMeanWindow);
   m_value += (value - m_value) / m_count;
 }
 
 void RunningQuantile::Observe(double value) {
-  m_value *= value > m_value ? std::exp(kStep * m_part)
-                             : std::exp(-kStep * (1 - m_part));
+  m_value *= value > m_value ? std::exp(kQuantileStep * m_quantile)
+                             : std::exp(-kQuantileStep * (1 - m_quantile));
 }
 
-RouteProfile::RouteProfile(Duration silence)
-    : m_silence(kSilencePart, static_cast<double>(silence)),
-      m_time_share(kTimePart, kFirstTimeShare) {}
+RouteProfile::RouteProfile(Duration think_time)
+    : m_think_time(kThinkTimeQuantile, static_cast<double>(think_time)),
+      m_time_share(kTimeShareQuantile, kInitialTimeShare) {}
 
-void RouteProfile::ObserveEnd(Tokens tokens, Duration took, Duration stated) {
-  m_end_tokens.Observe(static_cast<double>(tokens));
-  if (stated > 0) {
-    m_time_share.Observe(static_cast<double>(took) /
-                         static_cast<double>(stated));
+void RouteProfile::ObserveEnd(Tokens tokens, Duration duration,
+                              Duration initial_time_left) {
+  m_final_tokens.Observe(static_cast<double>(tokens));
+  if (initial_time_left > 0) {
+    m_time_share.Observe(static_cast<double>(duration) /
+                         static_cast<double>(initial_time_left));
   }
 }
 
-void RouteProfile::ObserveThinkTime(Duration silence) {
-  m_silence.Observe(static_cast<double>(std::max<Duration>(1, silence)));
+void RouteProfile::ObserveThinkTime(Duration think_time) {
+  m_think_time.Observe(static_cast<double>(std::max<Duration>(1, think_time)));
 }
 
-Tokens RouteProfile::EndTokens() const {
-  return static_cast<Tokens>(m_end_tokens.value());
+Tokens RouteProfile::FinalTokens() const {
+  return static_cast<Tokens>(m_final_tokens.value());
 }
 
 Duration RouteProfile::MaxThinkTime() const {
-  return static_cast<Duration>(m_silence.value());
+  return static_cast<Duration>(m_think_time.value());
 }
 
 double RouteProfile::TimeShare() const {
-  return std::min(m_time_share.value(), kMostTimeShare);
+  return std::min(m_time_share.value(), kMaxTimeShare);
 }
 
 }  // namespace yuccawick::admission
--- a/src/yuccawick/admission/route_profile.h
+++ b/src/yuccawick/admission/route_profile.h
@@ -1,7 +1,8 @@
-// What programs of one route do, learned from those that were seen.
+// Statistics of the programs of one route: think time, final size, and
+// duration.
 //
-// Constant in size: means and quantiles move with each observation and forget
-// old ones after about a hundred.
+// Uses constant memory: means and quantiles are updated with each observation
+// and weigh recent observations more.
 #pragma once
 
 #include <cstdint>
@@ -25,39 +26,41 @@
   double m_value = 0;
 };
 
-// The value that the given part of the observations stays below. It moves by
-// factors, so it suits times of any scale; the values must be positive.
+// Estimates a quantile of a stream of positive values. The estimate moves by
+// factors, so it works at any scale.
 class RunningQuantile {
  public:
-  RunningQuantile(double part, double first) : m_part(part), m_value(first) {}
+  RunningQuantile(double quantile, double initial)
+      : m_quantile(quantile), m_value(initial) {}
   void   Observe(double value);
   double value() const { return m_value; }
 
  private:
-  double m_part;
+  double m_quantile;
   double m_value;
 };
 
 class RouteProfile {
  public:
-  // `silence`: taken for the longest pause until programs were seen.
-  explicit RouteProfile(Duration silence);
+  // `think_time`: estimate used until think times were observed, in ms.
+  explicit RouteProfile(Duration think_time);
 
-  // A program ended with so many tokens after `took`; `stated`: the time that
-  // it said at its first turn that it has, 0 if it said none.
-  void ObserveEnd(Tokens tokens, Duration took, Duration stated);
-  void ObserveThinkTime(Duration silence);
+  // A program ended with `tokens` after `duration` ms. `initial_time_left`:
+  // time until its deadline at its first turn, in ms; 0 if it had none.
+  void ObserveEnd(Tokens tokens, Duration duration, Duration initial_time_left);
+  void ObserveThinkTime(Duration think_time);
 
-  // Tokens of a program at its end, on average; 0: none was seen yet.
-  Tokens   EndTokens() const;
-  // Hardly any program is silent for longer and goes on.
+  // Mean tokens of a program at its end; 0 if none was observed.
+  Tokens   FinalTokens() const;
+  // High quantile of the pause between two turns, in ms.
   Duration MaxThinkTime() const;
-  // What a program takes of the time that it states, when all goes well.
+  // High quantile of the duration of a program, as a share of its initial time
+  // left.
   double   TimeShare() const;
 
  private:
-  RunningMean     m_end_tokens;
-  RunningQuantile m_silence;
+  RunningMean     m_final_tokens;
+  RunningQuantile m_think_time;
   RunningQuantile m_time_share;
 };
 
