--- a/src/yuccawick/fairness/fair_share_policy.cc
+++ b/src/yuccawick/fairness/fair_share_policy.cc
@@ -8,10 +8,10 @@
 namespace yuccawick::fairness {
 namespace {
 
-// A workspace with less than this part of a turn of average work is forgotten.
-constexpr double kFaded = 0.1;
-// Whatever the settings, nobody leaves more than half of the room.
-constexpr double kLeastShare = 0.5;
+// Workspaces whose decayed usage is below this many average turns are dropped.
+constexpr double kMinTurnsKept = 0.1;
+// Lower bound of the admission threshold, whatever the margins.
+constexpr double kMinThreshold = 0.5;
 
 }  // namespace
 
@@ -19,14 +19,14 @@
                                  PriorityOf               priority_of)
     : m_settings(settings), m_priority_of(std::move(priority_of)) {}
 
-double FairSharePolicy::AdmissionThreshold(const NewProgram& beginner,
+double FairSharePolicy::AdmissionThreshold(const NewProgram& program,
                                            Time              now) {
-  double margin = UrgencyMargin(beginner.priority, now);
-  if (beginner.late) margin += m_settings.late;
-  if (IsOpen(now)) margin = 0;
-  const auto use = m_uses.find(beginner.workspace);
-  if (use != m_uses.end()) margin += UseMargin(use->second);
-  return std::max(1 - margin, kLeastShare);
+  double margin = UrgencyMargin(program.priority, now);
+  if (program.late) margin += m_settings.late;
+  if (AreMarginsLifted(now)) margin = 0;
+  const auto usage = m_usage.find(program.workspace);
+  if (usage != m_usage.end()) margin += UsageMargin(usage->second);
+  return std::max(1 - margin, kMinThreshold);
 }
 
 void FairSharePolicy::Charge(const std::string& workspace, double work,
@@ -34,118 +34,120 @@
   if (workspace.empty() || work <= 0) return;
   const UsageCharge charge{workspace, work, 1};
   Add(charge, now);
-  if (!m_uses.contains(workspace)) return;
-  UsageCharge& untold =
-      m_untold.try_emplace(workspace, UsageCharge{workspace}).first->second;
-  untold.work += charge.work;
-  untold.turns += charge.turns;
+  if (!m_usage.contains(workspace)) return;
+  UsageCharge& unsent =
+      m_unsent.try_emplace(workspace, UsageCharge{workspace}).first->second;
+  unsent.work += charge.work;
+  unsent.turns += charge.turns;
 }
 
 std::vector<UsageCharge> FairSharePolicy::TakeUnsent() {
   std::vector<UsageCharge> charges;
-  charges.reserve(m_untold.size());
-  for (auto& [workspace, charge] : m_untold) {
+  charges.reserve(m_unsent.size());
+  for (auto& [workspace, charge] : m_unsent) {
     charges.push_back(std::move(charge));
   }
-  m_untold.clear();
+  m_unsent.clear();
   return charges;
 }
 
 void FairSharePolicy::MergePeer(const std::vector<UsageCharge>& charges,
                                 Time                            now) {
   for (const UsageCharge& charge : charges) {
-    const bool sound =
+    const bool is_valid =
         !charge.workspace.empty() && std::isfinite(charge.work) &&
         std::isfinite(charge.turns) && charge.work > 0 && charge.turns > 0;
-    if (sound) Add(charge, now);
+    if (is_valid) Add(charge, now);
   }
 }
 
 void FairSharePolicy::Add(const UsageCharge& charge, Time now) {
   if (now - m_origin >= m_settings.usage_half_life) Sweep(now);
-  auto it = m_uses.find(charge.workspace);
-  if (it == m_uses.end()) {
-    if (static_cast<std::int64_t>(m_uses.size()) >= m_settings.workspaces) {
+  auto it = m_usage.find(charge.workspace);
+  if (it == m_usage.end()) {
+    if (static_cast<std::int64_t>(m_usage.size()) >= m_settings.workspaces) {
       return;
     }
-    it = m_uses.try_emplace(charge.workspace).first;
+    it = m_usage.try_emplace(charge.workspace).first;
     it->second.weight = WeightOf(charge.workspace);
     m_weight += it->second.weight;
   }
-  const double growth = Growth(now);
+  const double growth = GrowthFactor(now);
   it->second.work += charge.work * growth;
   m_work += charge.work * growth;
   m_turns += charge.turns * growth;
 }
 
 std::vector<FairSharePolicy::WorkspaceUsage> FairSharePolicy::TopWorkspaces(
-    std::size_t most) const {
-  std::vector<WorkspaceUsage> users;
-  users.reserve(m_uses.size());
-  for (const auto& [workspace, use] : m_uses) {
-    users.push_back({workspace, use.work / m_work, UseMargin(use)});
+    std::size_t max_count) const {
+  std::vector<WorkspaceUsage> result;
+  result.reserve(m_usage.size());
+  for (const auto& [workspace, usage] : m_usage) {
+    result.push_back({workspace, usage.work / m_work, UsageMargin(usage)});
   }
   const auto first = [](const WorkspaceUsage& a, const WorkspaceUsage& b) {
     return std::tie(b.part, a.workspace) < std::tie(a.part, b.workspace);
   };
-  const auto end =
-      users.begin() + static_cast<std::ptrdiff_t>(std::min(most, users.size()));
-  std::partial_sort(users.begin(), end, users.end(), first);
-  users.erase(end, users.end());
-  return users;
+  const auto end = result.begin() + static_cast<std::ptrdiff_t>(
+                                        std::min(max_count, result.size()));
+  std::partial_sort(result.begin(), end, result.end(), first);
+  result.erase(end, result.end());
+  return result;
 }
 
-double FairSharePolicy::Growth(Time now) const {
+double FairSharePolicy::GrowthFactor(Time now) const {
   return std::exp2(static_cast<double>(now - m_origin) /
                    static_cast<double>(m_settings.usage_half_life));
 }
 
-double FairSharePolicy::UseMargin(const Use& use) const {
-  const double others_weight = m_weight - use.weight;
-  // Floating-point sums may leave a rest where the workspace is alone.
-  if (m_uses.size() < 2 || others_weight <= 0) return 0;
+double FairSharePolicy::UsageMargin(const Usage& usage) const {
+  const double others_weight = m_weight - usage.weight;
+  // Rounding may leave a small remainder when there is no other workspace.
+  if (m_usage.size() < 2 || others_weight <= 0) return 0;
   const double credit = m_settings.credit_turns * m_work / m_turns;
-  const double average = std::max((m_work - use.work) / others_weight, credit);
-  const double doublings = std::log2(use.work / use.weight / average);
+  const double average =
+      std::max((m_work - usage.work) / others_weight, credit);
+  const double doublings = std::log2(usage.work / usage.weight / average);
   return std::clamp(m_settings.step * doublings, 0.0,
                     m_settings.max_usage_margin);
 }
 
 double FairSharePolicy::UrgencyMargin(int priority, Time now) {
-  const auto last = static_cast<int>(m_asked.size()) - 1;
+  const auto last = static_cast<int>(m_last_requests.size()) - 1;
   const int  level = std::clamp(priority, 0, last);
-  m_asked[static_cast<std::size_t>(level)] = now;
+  m_last_requests[static_cast<std::size_t>(level)] = now;
   int first = 0;
-  while (!HasAsked(first, now)) ++first;
+  while (!HasRequestedRecently(first, now)) ++first;
   return m_settings.urgency * (level - first);
 }
 
-bool FairSharePolicy::HasAsked(int level, Time now) const {
-  const auto& asked = m_asked[static_cast<std::size_t>(level)];
-  return asked && now - *asked < m_settings.usage_half_life;
+bool FairSharePolicy::HasRequestedRecently(int level, Time now) const {
+  const auto& last_request = m_last_requests[static_cast<std::size_t>(level)];
+  return last_request && now - *last_request < m_settings.usage_half_life;
 }
 
 double FairSharePolicy::WeightOf(const std::string& workspace) const {
   return 1.0 / (1 + std::max(0, m_priority_of(workspace)));
 }
 
-bool FairSharePolicy::IsOpen(Time now) const {
+bool FairSharePolicy::AreMarginsLifted(Time now) const {
   return static_cast<double>(now % m_settings.cycle) <
          m_settings.open * static_cast<double>(m_settings.cycle);
 }
 
 void FairSharePolicy::Sweep(Time now) {
-  const double fade = 1 / Growth(now);
+  const double decay = 1 / GrowthFactor(now);
   m_origin = now;
-  m_turns *= fade;
-  // Summed anew, so that rounding does not add up.
-  const double faded = m_turns > 0 ? kFaded * m_work * fade / m_turns : m_work;
+  m_turns *= decay;
+  // Recomputed from the entries, so that rounding errors do not accumulate.
+  const double min_work =
+      m_turns > 0 ? kMinTurnsKept * m_work * decay / m_turns : m_work;
   m_work = 0;
   m_weight = 0;
-  for (auto it = m_uses.begin(); it != m_uses.end();) {
-    it->second.work *= fade;
-    if (it->second.work <= faded) {
-      it = m_uses.erase(it);
+  for (auto it = m_usage.begin(); it != m_usage.end();) {
+    it->second.work *= decay;
+    if (it->second.work <= min_work) {
+      it = m_usage.erase(it);
       continue;
     }
     it->second.weight = WeightOf(it->first);
--- a/src/yuccawick/fairness/fair_share_policy.h
+++ b/src/yuccawick/fairness/fair_share_policy.h
@@ -1,22 +1,23 @@
-// Shares of the room by what workspaces use, by urgency, and by time left.
+// Shares scarce capacity by workspace usage, urgency, and time left.
 //
-// Load pattern: servers are nearly full and one workspace asks for many times
-// its usual, or routes of several priorities come at once. First come, first
-// served hands out room in proportion to what is asked, so all are refused
-// alike.
+// First come, first served grants capacity in proportion to demand: when one
+// workspace sends many times its usual load, all workspaces are refused alike.
+// This policy keeps a margin of the capacity free for whoever should go first
+// (trunk reservation):
 //
-// Whoever should come last leaves a margin of the room free for the others
-// (trunk reservation). A workspace leaves more the further its use is above the
-// others' average, a route the more urgent ones have asked lately, a late
-// program always. What is left below the margins goes to anyone.
+//   usage     grows with the usage of the workspace above the average of the
+//             others
+//   urgency   grows with each priority level behind the most urgent one that
+//             has requested admission recently
+//   lateness  constant, for programs that cannot finish in time
 //
-// Use is place time at model servers, in ms, as an exponentially fading sum, so
-// a refused workspace falls back to the average and is let in again: each gets
-// at least the average. Urgency and lateness do not fade; their margins are
-// lifted for a part of each cycle, so that nobody starves.
+// Usage is slot time at the model servers in ms, as an exponentially decaying
+// sum, so a refused workspace returns to the average and is admitted again. The
+// margins for urgency and lateness are lifted for a part of each cycle, which
+// prevents starvation.
 //
-// Every home has one. Homes tell each other what they charged, since the few
-// programs of a workspace that one of them sees say little.
+// Each coordinator has one instance. Coordinators exchange their charges, since
+// each sees only a few programs of a workspace.
 #pragma once
 
 #include <array>
@@ -31,73 +32,74 @@
 
 namespace yuccawick::fairness {
 
-// Times in ms, margins as parts of the room.
+// Times in ms, margins as shares of the capacity.
 struct FairShareSettings {
-  // Half-life of use and of what is known of urgent routes.
+  // Half-life of usage; also how long a request of an urgent route counts.
   Duration     usage_half_life = 4000;
-  // For each doubling of a workspace's use above the others' average. Turns
-  // under way at a service of 70 places vary by a tenth by chance; a smaller
-  // margin is taken whenever they are few for a moment.
+  // Margin for each doubling of a workspace's usage above the average of the
+  // others. Must exceed the random variation of running turns, or the margin is
+  // taken whenever few turns happen to run.
   double       step = 0.15;
   double       max_usage_margin = 0.2;
-  // A workspace is not ahead by so many turns of average work: one program.
+  // Lower bound of the others' average, in turns of average work: a workspace has
+  // no margin before it has used more than about one program does.
   double       credit_turns = 10;
-  double       urgency = 0.025;  // for each level behind the most urgent
+  double       urgency = 0.025;  // for each level behind the most urgent one
   double       late = 0.05;
-  // Margins of urgency and lateness are lifted for this part of each cycle.
+  // Share of each cycle in which the urgency and lateness margins are lifted.
   Duration     cycle = 300;
   double       open = 1.0 / 3;
-  std::int64_t workspaces = 16'384;  // counted at once
+  std::int64_t workspaces = 16'384;  // maximum number tracked
 };
 
 class FairSharePolicy final : public FairnessPolicy {
  public:
-  // 0 is first; weighs 1 / (1 + priority).
+  // Priority of a workspace, 0 first; its weight is 1 / (1 + priority).
   using PriorityOf = std::function<int(const std::string& workspace)>;
 
   FairSharePolicy(const FairShareSettings& settings, PriorityOf priority_of);
 
-  double AdmissionThreshold(const NewProgram& beginner, Time now) override;
+  double AdmissionThreshold(const NewProgram& program, Time now) override;
   void   Charge(const std::string& workspace, double work, Time now) override;
   std::vector<UsageCharge> TakeUnsent() override;
   void MergePeer(const std::vector<UsageCharge>& charges, Time now) override;
 
   struct WorkspaceUsage {
     std::string workspace;
-    double      part = 0;    // of all use
-    double      margin = 0;  // that it leaves now
+    double      part = 0;    // share of all usage
+    double      margin = 0;  // margin currently kept free
   };
-  // Those that use most, the first one first.
-  std::vector<WorkspaceUsage> TopWorkspaces(std::size_t most) const;
-  std::size_t                 workspaces() const { return m_uses.size(); }
+  // Workspaces with the highest usage, in descending order.
+  std::vector<WorkspaceUsage> TopWorkspaces(std::size_t max_count) const;
+  std::size_t                 workspaces() const { return m_usage.size(); }
 
  private:
-  struct Use {
-    double work = 0;  // as of m_origin
+  struct Usage {
+    double work = 0;  // scaled to m_origin
     double weight = 1;
   };
   void   Add(const UsageCharge& charge, Time now);
-  // What one unit of now counts for, as of m_origin.
-  double Growth(Time now) const;
-  double UseMargin(const Use& use) const;
+  // Weight of a charge made now, relative to one made at m_origin.
+  double GrowthFactor(Time now) const;
+  double UsageMargin(const Usage& usage) const;
   double UrgencyMargin(int priority, Time now);
-  bool   HasAsked(int level, Time now) const;
+  bool   HasRequestedRecently(int level, Time now) const;
   double WeightOf(const std::string& workspace) const;
-  bool   IsOpen(Time now) const;
-  // Moves the origin to now and drops what has faded.
+  bool   AreMarginsLifted(Time now) const;
+  // Rescales all sums to `now` and drops workspaces with negligible usage.
   void   Sweep(Time now);
 
   FairShareSettings                            m_settings;
   PriorityOf                                   m_priority_of;
-  std::unordered_map<std::string, Use>         m_uses;  // by workspace
-  // Sums over m_uses, and the turns that were charged, fading alike.
+  std::unordered_map<std::string, Usage>       m_usage;  // keyed by workspace
+  // Totals over m_usage, and the charged turns; all decay alike.
   double                                       m_work = 0;
   double                                       m_weight = 0;
   double                                       m_turns = 0;
   Time                                         m_origin = 0;
-  std::unordered_map<std::string, UsageCharge> m_untold;  // by workspace
-  // When each of the first priorities last asked.
-  std::array<std::optional<Time>, 3>           m_asked;
+  std::unordered_map<std::string, UsageCharge> m_unsent;  // keyed by workspace
+  // Time of the last request of each of the first priority levels.
+  std::array<std::optional<Time>, 3>           m_last_requests;
 };
 
 }  // namespace yuccawick::fairness
--- a/src/yuccawick/fairness/fairness_policy.h
+++ b/src/yuccawick/fairness/fairness_policy.h
@@ -1,9 +1,9 @@
-// Who may begin while room is short.
+// Decides who is admitted while capacity is scarce.
 //
-// Room is the part of the model servers' places and memory that programs under
-// way take. A FairnessPolicy says up to which part of it a program may begin: 1
-// lets it take the last place, 0.8 leaves a fifth to others. Programs under way
-// are never asked.
+// A FairnessPolicy returns the share of the capacity (slots and memory of the
+// model servers) up to which a new program is admitted: with 1 it may take the
+// last slot, with 0.8 it leaves a fifth to others. AdmissionController calls it
+// for new programs only, never for the turns of running ones.
 #pragma once
 
 #include <string>
@@ -17,13 +17,13 @@
 using net::Time;
 
 struct NewProgram {
-  std::string workspace;  // empty: the deployment has none
+  std::string workspace;  // empty: the deployment has no workspaces
   std::string route;
-  int         priority = 0;  // 0 is first
-  bool        late = false;  // its time is up, or does not hold its turns
+  int         priority = 0;  // 0 is most urgent
+  bool        late = false;  // can no longer finish in time
 };
 
-// Turns of a workspace that ended, and the ms of places that they took.
+// Slot time, in ms, of the turns of a workspace that ended.
 struct UsageCharge {
   std::string workspace;
   double      work = 0;
@@ -33,17 +33,17 @@
 class FairnessPolicy {
  public:
   virtual ~FairnessPolicy() = default;
-  // In (0, 1].
-  virtual double AdmissionThreshold(const NewProgram& beginner, Time now) = 0;
-  // A turn of the workspace took `work` ms of a place at a model server.
+  // Share of the capacity in (0, 1].
+  virtual double AdmissionThreshold(const NewProgram& program, Time now) = 0;
+  // Records a turn of the workspace that used a slot for `work` ms.
   virtual void Charge(const std::string& workspace, double work, Time now) = 0;
-  // What was charged here since the last call, for the other homes; and what
-  // another home charged.
+  // TakeUnsent returns the charges made here since the last call, to send to
+  // the other coordinators; MergePeer adds the charges of another coordinator.
   virtual std::vector<UsageCharge> TakeUnsent() = 0;
   virtual void MergePeer(const std::vector<UsageCharge>& charges, Time now) = 0;
 };
 
-// The baseline: first come, first served.
+// First come, first served, without margins.
 class FirstComePolicy final : public FairnessPolicy {
  public:
   double AdmissionThreshold(const NewProgram& /*beginner*/,
--- a/tests/fairness_test.cc
+++ b/tests/fairness_test.cc
@@ -1,5 +1,5 @@
-// Who may begin while room is short: what a hot workspace, a less urgent route
-// and a late program leave to others, and that none of them starves.
+// Fair sharing while capacity is scarce: margins for hot workspaces, less
+// urgent routes and late programs, and that none of them starves.
 #include <criterion/criterion.h>
 
 #include <cmath>
@@ -23,51 +23,54 @@
 using net::Duration;
 using net::Time;
 
-// A moment at which the margins of urgency and lateness hold.
-constexpr Time kMargins = 1190;
+// A time in the cycle at which the margins of urgency and lateness apply.
+constexpr Time kMarginsApply = 1190;
 
-std::unique_ptr<FairSharePolicy> Fair() {
+std::unique_ptr<FairSharePolicy> MakeFairPolicy() {
   return std::make_unique<FairSharePolicy>(
       FairShareSettings{}, [](const std::string&) { return 0; });
 }
 
-struct Callers {
+struct Caller {
   NewProgram who;
   double     per_second = 0;
 };
 
 struct Served {
-  int    asked = 0;
-  int    begun = 0;
-  double part() const { return asked == 0 ? 1 : 1.0 * begun / asked; }
+  int    requested = 0;
+  int    admitted = 0;
+  double share() const {
+    return requested == 0 ? 1 : 1.0 * admitted / requested;
+  }
 };
 
-// Room for so many programs at one home. Each takes turns of 200 ms of a place
-// with as long a pause after each; one that is refused does not come back.
-class Room {
+// Simulates a coordinator with capacity for a fixed number of programs. Each
+// program runs turns of 200 ms with a pause of 200 ms after each; refused
+// programs do not retry.
+class Simulation {
  public:
-  Room(int programs, FairnessPolicy* share)
-      : m_programs(programs), m_share(share) {}
+  Simulation(int programs, FairnessPolicy* policy)
+      : m_programs(programs), m_policy(policy) {}
 
-  // What callers of each name got, from 4 s on.
-  std::map<std::string, Served> Run(const std::vector<Callers>& callers,
-                                    Duration                    length) {
+  // Returns the counts of each caller, measured after the first 4 s.
+  std::map<std::string, Served> Run(const std::vector<Caller>& callers,
+                                    Duration                   length) {
     std::map<std::string, Served> served;
     for (Time now = 1000; now < 1000 + length; ++now) {
       EndTurns(now);
-      for (const Callers& caller : callers) {
+      for (const Caller& caller : callers) {
         if (!std::bernoulli_distribution(caller.per_second / 1000)(m_random)) {
           continue;
         }
-        const bool may =
-            m_under_way + 1 <=
-            m_programs * m_share->AdmissionThreshold(caller.who, now);
-        if (may) Begin(caller.who.workspace, now);
+        const bool admit =
+            m_running + 1 <=
+            m_programs * m_policy->AdmissionThreshold(caller.who, now);
+        if (admit) Start(caller.who.workspace, now);
         if (now < 5000) continue;
         Served& count = served[caller.who.workspace + caller.who.route +
                                (caller.who.late ? " late" : "")];
-        ++count.asked;
-        count.begun += may ? 1 : 0;
+        ++count.requested;
+        count.admitted += admit ? 1 : 0;
       }
     }
     return served;
@@ -84,8 +87,8 @@
     bool        operator<(const Turn& other) const { return ends > other.ends; }
   };
 
-  void Begin(const std::string& workspace, Time now) {
-    ++m_under_way;
+  void Start(const std::string& workspace, Time now) {
+    ++m_running;
     m_turns.push({now + kTurn, kTurns, workspace});
   }
 
@@ -93,9 +96,9 @@
     while (!m_turns.empty() && m_turns.top().ends <= now) {
       Turn turn = m_turns.top();
       m_turns.pop();
-      m_share->Charge(turn.workspace, kTurn, now);
+      m_policy->Charge(turn.workspace, kTurn, now);
       if (--turn.left == 0) {
-        --m_under_way;
+        --m_running;
         continue;
       }
       turn.ends = now + 2 * kTurn;
@@ -104,59 +107,60 @@
   }
 
   int                       m_programs;
-  FairnessPolicy*           m_share;
+  FairnessPolicy*           m_policy;
   std::mt19937              m_random{42};
-  int                       m_under_way = 0;
+  int                       m_running = 0;
   std::priority_queue<Turn> m_turns;
 };
 
-constexpr int      kRoom = 60;
-constexpr Duration kLength = 60'000;
+constexpr int      kCapacity = 60;
+constexpr Duration kDuration = 60'000;
 
-// Programs a second that fill the room.
-double Carried() {
-  return kRoom * 1000.0 / (Room::kTurn * (2 * Room::kTurns - 1));
+// Programs per second that use the whole capacity.
+double FullRate() {
+  return kCapacity * 1000.0 /
+         (Simulation::kTurn * (2 * Simulation::kTurns - 1));
 }
 
-std::vector<Callers> Workspaces(int count, double load) {
-  std::vector<Callers> callers;
+std::vector<Caller> Workspaces(int count, double load) {
+  std::vector<Caller> callers;
   for (int i = 0; i < count; ++i) {
-    Callers caller;
+    Caller caller;
     caller.who.workspace = "w" + std::to_string(i);
     caller.who.route = "r";
-    caller.per_second = load * Carried() / count;
+    caller.per_second = load * FullRate() / count;
     callers.push_back(caller);
   }
   return callers;
 }
 
-// The part of all programs but those of w0 that began.
-double Others(const std::map<std::string, Served>& served) {
+// Admitted share of all programs except those of w0.
+double OthersShare(const std::map<std::string, Served>& served) {
   Served sum;
   for (const auto& [name, count] : served) {
     if (name == "w0r") continue;
-    sum.asked += count.asked;
-    sum.begun += count.begun;
+    sum.requested += count.requested;
+    sum.admitted += count.admitted;
   }
-  return sum.part();
+  return sum.share();
 }
 
-double OthersWithHot(FairnessPolicy* share, double load, double times) {
+double OthersShareWithHot(FairnessPolicy* policy, double load, double times) {
   auto callers = Workspaces(10, load);
   callers[0].per_second *= times;
-  return Others(Room(kRoom, share).Run(callers, kLength));
+  return OthersShare(Simulation(kCapacity, policy).Run(callers, kDuration));
 }
 
 }  // namespace
 
-// Ten workspaces ask for seven tenths of the room, then one of them for eight
-// times as much as before.
-Test(Fairness, OneWorkspaceAsksEightTimesAsMuch_CostsOthersUnderFiveInHundred) {
-  const auto      fair = Fair();
-  const double    calm = OthersWithHot(Fair().get(), 0.7, 1);
-  const double    hot = OthersWithHot(fair.get(), 0.7, 8);
+// Guards against one hot workspace crowding out the others. Ten workspaces
+// request 70% of the capacity, then one of them eight times its share.
+Test(Fairness, OneWorkspaceSendsEightTimesItsLoad_OthersLoseUnderFivePercent) {
+  const auto      fair = MakeFairPolicy();
+  const double    calm = OthersShareWithHot(MakeFairPolicy().get(), 0.7, 1);
+  const double    hot = OthersShareWithHot(fair.get(), 0.7, 8);
   FirstComePolicy equal;
-  const double    first_come = OthersWithHot(&equal, 0.7, 8);
+  const double    first_come = OthersShareWithHot(&equal, 0.7, 8);
   cr_assert_geq(hot, 0.95 * calm, "%f of %f, first come %f", hot, calm,
                 first_come);
   cr_assert_lt(first_come, 0.95 * calm, "%f", first_come);
@@ -166,35 +170,38 @@
   cr_assert_gt(top[0].margin, 0);
 }
 
-// What others leave is used: the hot workspace fills the room up to its margin.
-Test(Fairness, OneWorkspaceAsksEightTimesAsMuch_GetsWhatOthersLeave) {
+// Guards against unused capacity: a hot workspace may fill all but its margin.
+Test(Fairness, OneWorkspaceSendsTwentyTimesItsLoad_GetsUnusedCapacity) {
   auto callers = Workspaces(10, 0.5);
   callers[0].per_second *= 20;
-  auto         served = Room(kRoom, Fair().get()).Run(callers, kLength);
+  auto served =
+      Simulation(kCapacity, MakeFairPolicy().get()).Run(callers, kDuration);
   const Served hot = served["w0r"];
-  const double seconds = (kLength - 4000) / 1000.0;
-  cr_assert_geq(hot.begun / seconds, 0.35 * Carried(), "%d of %d", hot.begun,
-                hot.asked);
+  const double seconds = (kDuration - 4000) / 1000.0;
+  cr_assert_geq(hot.admitted / seconds, 0.35 * FullRate(), "%d of %d",
+                hot.admitted, hot.requested);
 }
 
-// All workspaces ask for twice what there is, one for four times the average.
-Test(Fairness, AllAskTooMuch_NoWorkspaceIsServedLessThanAQuarterAsOften) {
+// Guards against starvation of a workspace when the total demand is about twice
+// the capacity.
+Test(Fairness, AllWorkspacesOverloaded_NoneIsServedLessThanAQuarterOfAverage) {
   auto callers = Workspaces(10, 1.6);
   callers[0].per_second *= 4;
   Served all;
-  auto   served = Room(kRoom, Fair().get()).Run(callers, kLength);
+  auto   served =
+      Simulation(kCapacity, MakeFairPolicy().get()).Run(callers, kDuration);
   for (const auto& [name, count] : served) {
-    all.asked += count.asked;
-    all.begun += count.begun;
+    all.requested += count.requested;
+    all.admitted += count.admitted;
   }
   for (const auto& [name, count] : served) {
-    cr_assert_geq(4 * count.part(), all.part(), "%s: %f of %f", name.c_str(),
-                  count.part(), all.part());
+    cr_assert_geq(4 * count.share(), all.share(), "%s: %f of %f", name.c_str(),
+                  count.share(), all.share());
   }
 }
 
-Test(Fairness, WorkspaceIsHotNoMore_IsLikeOthersAfterFourHalfLives) {
-  const auto fair = Fair();
+Test(Fairness, WorkspaceNoLongerHot_MarginIsGoneAfterFourHalfLives) {
+  const auto fair = MakeFairPolicy();
   for (int turn = 0; turn < 300; ++turn) {
     fair->Charge("hot", 200, 1000);
     if (turn % 6 == 0)
@@ -212,8 +219,9 @@
   cr_assert_geq(fair->AdmissionThreshold(hot, now), 0.98);
 }
 
-// By its priority a workspace may use more before it leaves room to others.
-Test(Fairness, WorkspacesOfTwoPriorities_FirstMayUseMore) {
+// Guards against ignoring workspace priorities: a higher priority allows more
+// usage before a margin applies.
+Test(Fairness, WorkspacesOfTwoPriorities_FirstMayUseMoreBeforeMargin) {
   FairSharePolicy fair(FairShareSettings{}, [](const std::string& name) {
     return name == "second";
   });
@@ -221,125 +229,136 @@
     fair.Charge("first", 200, 1000);
     fair.Charge("second", 200, 1000);
   }
-  cr_assert_float_eq(fair.AdmissionThreshold({"first", "r"}, kMargins), 1,
+  cr_assert_float_eq(fair.AdmissionThreshold({"first", "r"}, kMarginsApply), 1,
                      1e-9);
-  cr_assert_lt(fair.AdmissionThreshold({"second", "r"}, kMargins), 1);
+  cr_assert_lt(fair.AdmissionThreshold({"second", "r"}, kMarginsApply), 1);
 }
 
-// A route of the next priority asks for as much; together it is twice the room.
-Test(Fairness, RoutesOfTwoPriorities_UrgentServedMoreAndOtherNotStarved) {
-  std::vector<Callers> callers(2);
+// Guards against ignoring route priorities, and against starvation of the less
+// urgent route. The total demand is twice the capacity.
+Test(Fairness, RoutesOfTwoPriorities_UrgentIsServedMoreAndOtherNotStarved) {
+  std::vector<Caller> callers(2);
   callers[0].who.route = "urgent";
   callers[1].who.route = "other";
   callers[1].who.priority = 1;
-  callers[0].per_second = callers[1].per_second = Carried();
-  auto         served = Room(kRoom, Fair().get()).Run(callers, kLength);
-  const double urgent = served["urgent"].part();
-  const double other = served["other"].part();
+  callers[0].per_second = callers[1].per_second = FullRate();
+  auto served =
+      Simulation(kCapacity, MakeFairPolicy().get()).Run(callers, kDuration);
+  const double urgent = served["urgent"].share();
+  const double other = served["other"].share();
   cr_assert_gt(urgent, other);
   cr_assert_geq(4 * other, (urgent + other) / 2, "%f, %f", urgent, other);
 }
 
-// The urgent route alone asks for twice the room.
-Test(Fairness, UrgentRouteFillsRoom_OtherIsNotStarved) {
-  std::vector<Callers> callers(2);
+// Guards against starvation of a less urgent route when the urgent one alone
+// requests twice the capacity.
+Test(Fairness, UrgentRouteOverloaded_OtherIsNotStarved) {
+  std::vector<Caller> callers(2);
   callers[0].who.route = "urgent";
-  callers[0].per_second = 2 * Carried();
+  callers[0].per_second = 2 * FullRate();
   callers[1].who.route = "other";
   callers[1].who.priority = 2;
-  callers[1].per_second = 0.2 * Carried();
-  auto         served = Room(kRoom, Fair().get()).Run(callers, kLength);
-  const double other = served["other"].part();
-  cr_assert_geq(4 * other, served["urgent"].part(), "%f", other);
+  callers[1].per_second = 0.2 * FullRate();
+  auto served =
+      Simulation(kCapacity, MakeFairPolicy().get()).Run(callers, kDuration);
+  const double other = served["other"].share();
+  cr_assert_geq(4 * other, served["urgent"].share(), "%f", other);
 }
 
-// A route leaves no room to a more urgent one that nobody asks for.
-Test(Fairness, OnlyLessUrgentRouteAsks_MayTakeTheLastPlace) {
-  const auto fair = Fair();
+// Guards against keeping capacity free for an urgent route without requests.
+Test(Fairness, OnlyLessUrgentRouteRequests_MayTakeTheLastSlot) {
+  const auto fair = MakeFairPolicy();
   NewProgram other{"", "other", 1};
-  cr_assert_float_eq(fair->AdmissionThreshold(other, kMargins), 1, 1e-9);
-  fair->AdmissionThreshold({"", "urgent", 0}, kMargins);
-  cr_assert_lt(fair->AdmissionThreshold(other, kMargins), 1);
-  cr_assert_float_eq(fair->AdmissionThreshold(other, kMargins + 10'200), 1,
+  cr_assert_float_eq(fair->AdmissionThreshold(other, kMarginsApply), 1, 1e-9);
+  fair->AdmissionThreshold({"", "urgent", 0}, kMarginsApply);
+  cr_assert_lt(fair->AdmissionThreshold(other, kMarginsApply), 1);
+  cr_assert_float_eq(fair->AdmissionThreshold(other, kMarginsApply + 10'200), 1,
                      1e-9);
 }
 
-Test(Fairness, LateProgramsInCalm_AreServed) {
-  std::vector<Callers> callers(2);
+Test(Fairness, LateProgramsAtLowLoad_AreServed) {
+  std::vector<Caller> callers(2);
   callers[0].who.route = callers[1].who.route = "r";
   callers[1].who.late = true;
-  callers[0].per_second = 0.5 * Carried();
-  callers[1].per_second = 0.1 * Carried();
-  auto served = Room(kRoom, Fair().get()).Run(callers, kLength);
-  cr_assert_geq(served["r late"].part(), 0.99, "%f", served["r late"].part());
+  callers[0].per_second = 0.5 * FullRate();
+  callers[1].per_second = 0.1 * FullRate();
+  auto served =
+      Simulation(kCapacity, MakeFairPolicy().get()).Run(callers, kDuration);
+  cr_assert_geq(served["r late"].share(), 0.99, "%f", served["r late"].share());
 }
 
-// Programs on time alone ask for twice the room.
-Test(Fairness, LateProgramsInOverload_ComeBehindAndAreNotStarved) {
-  std::vector<Callers> callers(2);
+// Guards against late programs displacing those in time, and against their
+// starvation. The programs in time alone request twice the capacity.
+Test(Fairness, LateProgramsInOverload_AreServedLessAndNotStarved) {
+  std::vector<Caller> callers(2);
   callers[0].who.route = callers[1].who.route = "r";
   callers[1].who.late = true;
-  callers[0].per_second = 2 * Carried();
-  callers[1].per_second = 0.5 * Carried();
-  auto         served = Room(kRoom, Fair().get()).Run(callers, kLength);
-  const double on_time = served["r"].part();
-  const double late = served["r late"].part();
+  callers[0].per_second = 2 * FullRate();
+  callers[1].per_second = 0.5 * FullRate();
+  auto served =
+      Simulation(kCapacity, MakeFairPolicy().get()).Run(callers, kDuration);
+  const double on_time = served["r"].share();
+  const double late = served["r late"].share();
   cr_assert_lt(late, on_time, "%f, %f", late, on_time);
   cr_assert_geq(4 * late, on_time, "%f, %f", late, on_time);
 }
 
-// A home that lost its sums must not keep anyone out by chance.
-Test(Fairness, HomeStartsAnew_TreatsAllAlike) {
-  const auto fair = Fair();
+// Guards against refusing a workspace on too few samples after a restart.
+Test(Fairness, AfterRestart_AllWorkspacesAreTreatedAlike) {
+  const auto fair = MakeFairPolicy();
   for (const char* name : {"a", "b", "hot"}) {
-    cr_assert_float_eq(fair->AdmissionThreshold({name, "r"}, kMargins), 1,
+    cr_assert_float_eq(fair->AdmissionThreshold({name, "r"}, kMarginsApply), 1,
                        1e-9);
   }
-  fair->Charge("hot", 200, kMargins);
-  cr_assert_float_eq(fair->AdmissionThreshold({"hot", "r"}, kMargins), 1, 1e-9);
-  fair->Charge("a", 20, kMargins);
-  cr_assert_float_eq(fair->AdmissionThreshold({"hot", "r"}, kMargins), 1, 1e-9);
+  fair->Charge("hot", 200, kMarginsApply);
+  cr_assert_float_eq(fair->AdmissionThreshold({"hot", "r"}, kMarginsApply), 1,
+                     1e-9);
+  fair->Charge("a", 20, kMarginsApply);
+  cr_assert_float_eq(fair->AdmissionThreshold({"hot", "r"}, kMarginsApply), 1,
+                     1e-9);
 }
 
-// Each home sees a few of a workspace's programs, too few to say much.
-Test(Fairness, TwoHomesEachSeeLittleOfHotWorkspace_BothKnowWhenTold) {
-  const auto one = Fair();
-  const auto other = Fair();
+// Guards against a hot workspace staying undetected because each coordinator
+// sees only a few of its programs.
+Test(Fairness, TwoCoordinatorsSeeFewTurnsOfHotWorkspace_ExchangeRevealsIt) {
+  const auto one = MakeFairPolicy();
+  const auto other = MakeFairPolicy();
   for (int turn = 0; turn < 16; ++turn) {
-    for (const auto& home : {one.get(), other.get()}) {
-      home->Charge("hot", 200, 1000);
-      if (turn % 2 == 0) home->Charge("w" + std::to_string(turn), 200, 1000);
+    for (const auto& coordinator : {one.get(), other.get()}) {
+      coordinator->Charge("hot", 200, 1000);
+      if (turn % 2 == 0)
+        coordinator->Charge("w" + std::to_string(turn), 200, 1000);
     }
   }
-  const double before = one->AdmissionThreshold({"hot", "r"}, kMargins);
+  const double before = one->AdmissionThreshold({"hot", "r"}, kMarginsApply);
   other->MergePeer(one->TakeUnsent(), 1000);
   one->MergePeer(other->TakeUnsent(), 1000);
-  const double after = one->AdmissionThreshold({"hot", "r"}, kMargins);
+  const double after = one->AdmissionThreshold({"hot", "r"}, kMarginsApply);
   cr_assert_lt(after, before, "%f, %f", before, after);
-  cr_assert_float_eq(after, other->AdmissionThreshold({"hot", "r"}, kMargins),
-                     1e-9);
-  // What was heard is not told on.
+  cr_assert_float_eq(
+      after, other->AdmissionThreshold({"hot", "r"}, kMarginsApply), 1e-9);
+  // Charges received from a peer are not sent on.
   cr_assert(one->TakeUnsent().empty());
 }
 
-// A node that runs another version may send anything.
-Test(Fairness, ChargesThatAreNoNumbers_AreLeftOut) {
-  const auto   fair = Fair();
+// Guards against invalid values from a peer that runs another version.
+Test(Fairness, InvalidCharges_AreIgnored) {
+  const auto   fair = MakeFairPolicy();
   const double kNan = std::nan("");
   fair->MergePeer({{"a", kNan, 1}, {"b", -5, 1}, {"c", 5, 0}, {"", 5, 1}},
                   1000);
   cr_assert_eq(fair->workspaces(), 0);
 }
 
-// Nobody to leave room to.
-Test(Fairness, OneWorkspaceAlone_MayTakeTheLastPlace) {
-  const auto fair = Fair();
+// Guards against a margin that no other workspace could use.
+Test(Fairness, OneWorkspaceAlone_MayTakeTheLastSlot) {
+  const auto fair = MakeFairPolicy();
   for (int i = 0; i < 100; ++i) fair->Charge("only", 200, 1000 + i);
-  cr_assert_float_eq(fair->AdmissionThreshold({"only", "r"}, kMargins), 1,
+  cr_assert_float_eq(fair->AdmissionThreshold({"only", "r"}, kMarginsApply), 1,
                      1e-9);
 }
 
-Test(Fairness, EightThousandWorkspaces_StateIsBoundedAndIdleOnesForgotten) {
+Test(Fairness, EightThousandWorkspaces_StateIsBoundedAndIdleOnesAreDropped) {
   FairShareSettings settings;
   settings.workspaces = 1000;
   FairSharePolicy fair(settings, [](const std::string&) { return 0; });
@@ -349,7 +368,7 @@
     cr_assert_leq(fair.workspaces(), 1000);
     now += 1;
   }
-  // The four that go on are all that is left of them.
+  // Only the four active workspaces remain.
   for (int i = 0; i < 400; ++i) {
     now += 200;
     fair.Charge("w" + std::to_string(i % 4), 100, now);
@@ -357,15 +376,15 @@
   cr_assert_eq(fair.workspaces(), 4, "%zu", fair.workspaces());
 }
 
-// The clock of a node that slept jumps.
-Test(Fairness, LongIdle_SumsStayNumbers) {
-  const auto fair = Fair();
+// Guards against overflow of the decaying sums after a clock jump.
+Test(Fairness, ClockJumps_SumsStayFinite) {
+  const auto fair = MakeFairPolicy();
   fair->Charge("a", 200, 1000);
   fair->Charge("b", 200, 1000);
   fair->Charge("a", 200, 1000 + 1'000'000'000);
-  const double share = fair->AdmissionThreshold({"a", "r"}, 1'000'001'190);
-  cr_assert_geq(share, 0.5);
-  cr_assert_leq(share, 1.0);
+  const double threshold = fair->AdmissionThreshold({"a", "r"}, 1'000'001'190);
+  cr_assert_geq(threshold, 0.5);
+  cr_assert_leq(threshold, 1.0);
 }
 
 }  // namespace yuccawick::tests
