--- a/src/yuccawick/capacity/server_slowdown.h
+++ b/src/yuccawick/capacity/server_slowdown.h
@@ -1,22 +1,23 @@
-// How fast a backend server works, against the others of its service.
+// Estimates how slow a backend server is relative to the others of its service.
 //
-// Load pattern: servers of one service differ in speed by a factor of two and
-// more, and each is several times as slow for some hundred milliseconds now and
-// then. Counting requests per slot sends all of them the same, and the slow
-// ones' queues decide when programs end.
+// Servers of one service may differ in speed by a factor of two or more, and
+// each may slow down several times for a few hundred milliseconds. Placement by
+// load alone sends all of them the same work, and the queues of slow servers
+// delay whole programs.
 //
-// A pace is how long the same work takes there, in medians of the service: 1 is
-// the median, 2 takes twice as long. It is the product of a lasting pace, which
-// a server keeps, and of a spell, which is noticed within two or three events
-// and forgotten as fast.
+// A slowdown is the time that the same work takes, divided by the median over
+// the service: 1 is the median, 2 takes twice as long. It is the product of a
+// lasting part, which changes slowly, and a transient part, which is detected
+// within two or three events and forgotten as fast.
 //
-//   SlowdownBaseline  of a service: turns the time that a piece of work took
-//                     into a pace, by what that kind of work usually takes
-//   ServerSlowdown    of one start of a server: what was observed there
+//   SlowdownBaseline  one per service: converts the duration of a piece of work
+//                     to a slowdown, given how long that kind of work usually
+//                     takes
+//   ServerSlowdown    one per start of a server: the estimate for that server
 //
-//   if (auto seen = scale.Compare("events", 40, server.At(now), now))
-//     server.Observe(*seen, now);
-//   neighbour.MergePeer(server.TakeUnsent(), now);  // what it has not yet told
+//   if (auto observed = baseline.Compare("events", 40, server.At(now), now))
+//     server.Observe(*observed, now);
+//   peer.MergePeer(server.TakeUnsent(), now);
 #pragma once
 
 #include <optional>
@@ -33,26 +34,29 @@
 using net::Time;
 
 struct SlowdownEstimate {
-  double factor = 1.0;   // of the median time
-  double samples = 0.0;  // observations that it rests on; older ones count less
+  double factor = 1.0;   // multiple of the median time
+  double samples = 0.0;  // effective count; old ones weigh less
 };
 
 struct SlowdownSettings {
-  double   max_samples = 200.0;  // observations that the lasting pace rests on
+  double   max_samples = 200.0;        // window of the lasting estimate
   Duration transient_half_life = 150;  // ms
-  // A server is slow from the first on, until it is below the second.
+  // A server becomes slow at or above `slow`, and fast again below
+  // `fast_again`.
   double   slow = 1.4;
   double   fast_again = 1.25;
 };
 
-// Weighted mean of logarithms, held near zero while it rests on little.
+// Weighted mean of logarithms that shrinks towards zero while samples are few.
 struct LogMean {
   double sum = 0;
   double weight = 0;
 
-  void   Fade(double keep);
+  void   Decay(double decay);
   void   Add(double value, double value_weight);
-  double Held(double doubt) const { return sum / (weight + doubt); }
+  double ShrunkMean(double prior_weight) const {
+    return sum / (weight + prior_weight);
+  }
 };
 
 class ServerSlowdown {
@@ -60,59 +64,61 @@
   explicit ServerSlowdown(const SlowdownSettings& settings)
       : m_settings(settings) {}
 
-  // Seen here; to be told to neighbours.
-  void             Observe(const SlowdownEstimate& seen, Time now);
-  // Seen by a neighbour.
-  void             MergePeer(const SlowdownEstimate& seen, Time now);
+  // Adds a local observation; it will be sent to the peers.
+  void             Observe(const SlowdownEstimate& observed, Time now);
+  // Adds the observations of a peer.
+  void             MergePeer(const SlowdownEstimate& observed, Time now);
   SlowdownEstimate Lasting() const;
-  // Lasting pace and spell together.
+  // Lasting and transient slowdown combined.
   double           At(Time now) const;
 
   SlowdownEstimate Unsent() const;
   SlowdownEstimate TakeUnsent();
-  // Whether untold observations are far from the lasting pace, so that they
-  // are worth a message of their own.
+  // True if the unsent observations differ so much from the lasting slowdown
+  // that they should be sent without waiting for the next periodic report.
   bool             NeedsImmediateReport() const;
 
-  // Changes the unit of what was observed, not what follows.
-  void Rescale(double by);
+  // Rescales past observations to a new median; later ones are not affected.
+  void Rescale(double factor);
   bool slow() const { return m_slow; }
-  // Whether slow() changed; to be called now and then.
+  // Updates slow() and returns true if it changed. Call periodically.
   bool UpdateSlow();
 
  private:
-  void   Add(const SlowdownEstimate& seen, Time now);
-  double SpellKept(Time now) const;
+  void   Add(const SlowdownEstimate& observed, Time now);
+  double TransientDecay(Time now) const;
 
   SlowdownSettings m_settings;
   LogMean          m_lasting;
-  LogMean          m_spell;  // against the lasting pace
-  LogMean          m_untold;
-  Time             m_spell_as_of = 0;
+  LogMean          m_transient;  // relative to the lasting slowdown
+  LogMean          m_unsent;
+  Time             m_transient_time = 0;
   bool             m_slow = false;
 };
 
 class SlowdownBaseline {
  public:
-  // Pace that a piece of work of this kind shows, which took `took` ms at a
-  // server of the given pace; nothing while too few were seen to compare with.
-  std::optional<SlowdownEstimate> Compare(std::string_view kind, double took,
-                                          double pace, Time now);
-  // Makes the median of these lasting paces 1. Observations of servers that
-  // nothing is known of say nothing.
+  // Returns the slowdown shown by a piece of work of the given kind, which took
+  // `duration` ms at a server with the given slowdown; nullopt while there are
+  // too few samples of that kind.
+  std::optional<SlowdownEstimate> Compare(std::string_view kind,
+                                          double duration, double slowdown,
+                                          Time now);
+  // Rescales the servers so that their median lasting slowdown is 1. Servers
+  // without observations are left out of the median.
   void        Recenter(const std::vector<ServerSlowdown*>& servers);
-  // Drops kinds of work that were not seen since then.
+  // Drops kinds of work not seen since `before`.
   void        Forget(Time before);
   std::size_t kinds() const { return m_kinds.size(); }
 
  private:
-  struct Usual {
+  struct Baseline {
     double log_time = 0;
-    double scatter = 0;  // variance of the logarithm
-    int    seen = 0;
-    Time   used = 0;
+    double variance = 0;  // of the log duration
+    int    count = 0;
+    Time   last_used = 0;
   };
-  std::unordered_map<std::string, Usual> m_kinds;
+  std::unordered_map<std::string, Baseline> m_kinds;
 };
 
 }  // namespace yuccawick::capacity
--- a/src/yuccawick/capacity/service_capacity.h
+++ b/src/yuccawick/capacity/service_capacity.h
@@ -1,8 +1,7 @@
-// What the model servers of a service can hold together.
+// Combined capacity of the model servers of a service.
 //
-// The manifest says what one engine holds, discovery how many servers there
-// are, ServerSlowdown how fast each is. Whoever lets programs onto the servers
-// reads only this.
+// Computed from the engine limits in the manifest, the servers in the
+// directory, and the slowdown of each; used by AdmissionController.
 #pragma once
 
 #include <cstdint>
@@ -10,8 +9,8 @@
 namespace yuccawick::capacity {
 
 struct ServiceCapacity {
-  int          servers = 0;  // listed, not leaving
-  double       slots = 0;    // requests at once; a slow server's count less
+  int          servers = 0;  // listed and not draining
+  double       slots = 0;    // concurrent requests, weighted by server speed
   std::int64_t memory = 0;   // tokens, shared by runs and cached prompts
 
   bool known() const { return servers > 0 && slots > 0 && memory > 0; }
