--- a/src/yuccawick/pressure/memory_budget.cc
+++ b/src/yuccawick/pressure/memory_budget.cc
@@ -6,24 +6,26 @@
 namespace {
 
 constexpr double kBytesPerMb = 1024.0 * 1024.0;
-// Under a limit too small for the process itself, still a body or two.
-constexpr double kLeastBound = 4 * kBytesPerMb;
-constexpr auto   kNoBound = std::numeric_limits<std::size_t>::max();
-
-std::size_t BoundOf(const MemoryBudgetSettings& settings,
-                    std::size_t                 limit_bytes) {
-  if (limit_bytes == 0) return kNoBound;
-  const double rest = (1.0 - settings.spare) * static_cast<double>(limit_bytes);
+// Minimum bound in bytes, so that one or two bodies still fit if the limit is
+// too small for the process itself.
+constexpr double kMinBound = 4 * kBytesPerMb;
+constexpr auto   kUnbounded = std::numeric_limits<std::size_t>::max();
+
+std::size_t ComputeBound(const MemoryBudgetSettings& settings,
+                         std::size_t                 limit_bytes) {
+  if (limit_bytes == 0) return kUnbounded;
+  const double usable =
+      (1.0 - settings.spare) * static_cast<double>(limit_bytes);
   return static_cast<std::size_t>(
-      std::max(kLeastBound, rest - settings.own_mb * kBytesPerMb));
+      std::max(kMinBound, usable - settings.own_mb * kBytesPerMb));
 }
 
 }  // namespace
 
-std::string_view Name(MemoryKind held) {
+std::string_view Name(MemoryKind kind) {
   constexpr std::array<std::string_view, kMemoryKindCount> kNames{
       "requests", "to_clients", "to_servers", "turns"};
-  return kNames[static_cast<std::size_t>(held)];
+  return kNames[static_cast<std::size_t>(kind)];
 }
 
 std::string_view Name(PressureLevel level) {
@@ -33,26 +35,26 @@
 
 MemoryBudget::MemoryBudget(const MemoryBudgetSettings& settings,
                            std::size_t                 limit_bytes)
-    : m_settings(settings), m_bound(BoundOf(settings, limit_bytes)) {}
+    : m_settings(settings), m_bound(ComputeBound(settings, limit_bytes)) {}
 
 bool MemoryBudget::CanAcceptBody(std::size_t body_bytes,
-                                 std::size_t held) const {
+                                 std::size_t charged) const {
   if (!bounded()) return true;
-  // A request that is being read is finished on a node that turns full
-  // meanwhile, as long as it fits.
-  if (held == 0 && Above(m_settings.full)) return false;
-  return m_total - held + kBodyCopies * body_bytes <= m_bound;
+  // A request that is already being read may finish when the node becomes full,
+  // as long as it fits.
+  if (charged == 0 && Above(m_settings.full)) return false;
+  return m_total - charged + kBodyCopies * body_bytes <= m_bound;
 }
 
-bool MemoryBudget::bounded() const { return m_bound != kNoBound; }
+bool MemoryBudget::bounded() const { return m_bound != kUnbounded; }
 
 std::optional<std::size_t> MemoryBudget::TurnBytesTarget(
-    std::size_t kept) const {
-  constexpr double kLeft = 0.9;
+    std::size_t turn_bytes) const {
+  constexpr double kTargetShare = 0.9;
   if (!bounded()) return std::nullopt;
-  const double most = m_settings.turns * static_cast<double>(m_bound);
-  if (static_cast<double>(kept) <= most) return std::nullopt;
-  return static_cast<std::size_t>(kLeft * most);
+  const double max_bytes = m_settings.turns * static_cast<double>(m_bound);
+  if (static_cast<double>(turn_bytes) <= max_bytes) return std::nullopt;
+  return static_cast<std::size_t>(kTargetShare * max_bytes);
 }
 
 bool MemoryBudget::Above(double share) const {
@@ -63,23 +65,24 @@
   if (!bounded()) return PressureLevel::kCalm;
   if (Above(m_settings.full)) return PressureLevel::kFull;
   if (Above(m_settings.near)) return PressureLevel::kNear;
-  const bool stays = m_level != PressureLevel::kCalm && Above(m_settings.calm);
-  return stays ? PressureLevel::kNear : PressureLevel::kCalm;
+  const bool stays_near =
+      m_level != PressureLevel::kCalm && Above(m_settings.calm);
+  return stays_near ? PressureLevel::kNear : PressureLevel::kCalm;
 }
 
 bool MemoryBudget::Update(Time now) {
   const PressureLevel next = LevelNow();
   if (next >= m_level)
-    m_risen_at = next == PressureLevel::kCalm ? m_risen_at : now;
-  const bool held_back = next < m_level && now - m_risen_at < m_settings.hold;
-  if (next == m_level || held_back) return false;
+    m_level_time = next == PressureLevel::kCalm ? m_level_time : now;
+  const bool is_held = next < m_level && now - m_level_time < m_settings.hold;
+  if (next == m_level || is_held) return false;
   m_level = next;
   return true;
 }
 
 void MemoryBudget::Change(MemoryKind kind, std::size_t from, std::size_t to) {
-  std::size_t& held = m_held[static_cast<std::size_t>(kind)];
-  held += to - from;
+  std::size_t& bytes = m_used[static_cast<std::size_t>(kind)];
+  bytes += to - from;
   m_total += to - from;
 }
 
@@ -89,12 +92,12 @@
   m_bytes = bytes;
 }
 
-std::size_t ChooseClientToDrop(const std::vector<ClientBuffer>& readers,
-                               Duration                         patience) {
+std::size_t ChooseClientToDrop(const std::vector<ClientBuffer>& clients,
+                               Duration                         stall_timeout) {
   std::size_t drop = kNoClient;
-  for (std::size_t i = 0; i < readers.size(); ++i) {
-    if (readers[i].waiting == 0 || readers[i].stalled < patience) continue;
-    if (drop == kNoClient || readers[i].waiting > readers[drop].waiting)
+  for (std::size_t i = 0; i < clients.size(); ++i) {
+    if (clients[i].waiting == 0 || clients[i].stalled < stall_timeout) continue;
+    if (drop == kNoClient || clients[i].waiting > clients[drop].waiting)
       drop = i;
   }
   return drop;
--- a/src/yuccawick/pressure/memory_budget.h
+++ b/src/yuccawick/pressure/memory_budget.h
@@ -1,15 +1,13 @@
-// How much memory a node holds for others, and what it still takes on.
+// Bounds the memory that a node uses for requests, responses, and turns.
 //
-// Whoever holds bytes for a client, a server or a program keeps a MemoryCharge
-// of its kind and says how many; its destructor gives them back, whichever way
-// the request ends. Ask CanAcceptBody() before a body is read.
+// Without a bound, many large bodies, or clients and servers that stop reading,
+// make the process exceed its memory limit and be killed. Each object that
+// buffers bytes for a client, a server or a program owns a MemoryCharge, which
+// returns the bytes when destroyed. Call CanAcceptBody() before reading a body.
 //
-//   calm  everything is taken that fits
-//   near  the node wants no new clients; requests that it has got are served
-//   full  no new request is taken
-//
-// The load it answers: many large bodies at once, and clients or servers that
-// stop reading, on nodes whose process is ended above a fixed size.
+//   calm  accepts every request that fits
+//   near  reports not ready to the load balancer, but serves requests
+//   full  refuses new requests
 #pragma once
 
 #include <array>
@@ -31,64 +29,67 @@
 using net::Time;
 
 enum class MemoryKind : std::uint8_t {
-  kRequests,   // bodies, histories put before them, answers not passed on yet
-  kToClients,  // not taken yet
-  kToServers,  // not taken yet
-  kTurns,      // of programs, kept in memory
+  kRequests,   // bodies, prepended history, responses not yet forwarded
+  kToClients,  // waiting to be sent to clients
+  kToServers,  // waiting to be sent to servers
+  kTurns,      // turns of programs cached in memory
   kCount,
 };
 inline constexpr std::size_t kMemoryKindCount =
     static_cast<std::size_t>(MemoryKind::kCount);
-std::string_view Name(MemoryKind held);
+std::string_view Name(MemoryKind kind);
 
 enum class PressureLevel : std::uint8_t { kCalm, kNear, kFull };
 std::string_view Name(PressureLevel level);
 
 struct MemoryBudgetSettings {
-  // Of the process itself: code, threads, connections, tables, the log's pages.
+  // Memory of the process itself in MB: code, threads, connections, tables, and
+  // pages of the log.
   double   own_mb = 24;
-  // Share of the limit for the allocator and for bytes that wait in the kernel.
+  // Share of the limit left to the allocator and kernel socket buffers.
   double   spare = 0.25;
-  // Shares of the bound at which a level begins; calm again below `calm`.
+  // Shares of the bound at which the levels near and full begin; the level
+  // returns to calm below `calm`.
   double   near = 0.7;
   double   full = 0.9;
   double   calm = 0.5;
-  // Share of the bound up to which turns are kept in memory.
+  // Share of the bound available for turns.
   double   turns = 0.6;
-  // A level holds for so long at least before a lower one: the balancer asks
-  // once a second and turns away after two misses.
+  // ms for which a level is held before it drops. Must cover the health check
+  // interval of the load balancer, or the node flaps.
   Duration hold = 3000;
-  // A client is let go by a full node if it has taken nothing for so long:
-  // several round trips, and a lost packet sent again.
+  // A full node drops clients that have not read for this long, in ms. Must
+  // allow for a retransmitted packet.
   Duration full_stall_timeout = 500;
 };
 
-// A body is held once whole and once on its way to the server.
+// Copies of a body in memory: the received one and the one being sent.
 inline constexpr std::size_t kBodyCopies = 2;
 
 class MemoryBudget {
  public:
-  // `limit_bytes` of the whole process; 0: there is none, all is calm.
+  // `limit_bytes`: memory limit of the process; 0: unlimited, always calm.
   MemoryBudget(const MemoryBudgetSettings& settings, std::size_t limit_bytes);
   MemoryBudget(const MemoryBudget&) = delete;
   MemoryBudget& operator=(const MemoryBudget&) = delete;
 
-  // Whether a body of this size, which grows a holding that counts `held` of it
-  // already, may be read.
-  bool CanAcceptBody(std::size_t body_bytes, std::size_t held = 0) const;
-  // At this moment; the level may be higher for a while.
+  // Whether a body of this size may be read. `charged`: bytes already charged
+  // for this body.
+  bool CanAcceptBody(std::size_t body_bytes, std::size_t charged = 0) const;
+  // Current state; level() may stay higher for the hold time.
   bool IsFull() const { return bounded() && Above(m_settings.full); }
-  // True if the level has changed. Call often, and after each large change.
+  // Updates level() and returns true if it changed. Call periodically, and
+  // after each large change.
   bool Update(Time now);
   PressureLevel              level() const { return m_level; }
   bool                       bounded() const;
   std::size_t                bound() const { return m_bound; }
   std::size_t                total() const { return m_total; }
-  // How many bytes of turns are to be left if more are kept in memory; a tenth
-  // below the most, so that it does not come up again at once.
-  std::optional<std::size_t> TurnBytesTarget(std::size_t kept) const;
+  // Size to which turns should shrink if `turn_bytes` exceed their share. Lies
+  // 10% below the share, to avoid shrinking again at once.
+  std::optional<std::size_t> TurnBytesTarget(std::size_t turn_bytes) const;
   std::size_t                used(MemoryKind kind) const {
-                   return m_held[static_cast<std::size_t>(kind)];
+                   return m_used[static_cast<std::size_t>(kind)];
   }
 
  private:
@@ -100,15 +101,16 @@
   MemoryBudgetSettings                      m_settings;
   std::size_t                               m_bound;
   std::size_t                               m_total = 0;
-  std::array<std::size_t, kMemoryKindCount> m_held{};
+  std::array<std::size_t, kMemoryKindCount> m_used{};
   PressureLevel                             m_level = PressureLevel::kCalm;
-  Time m_risen_at = 0;  // to this level or above
+  Time m_level_time = 0;  // last time that the load required m_level or more
 };
 
-// What is held may outlive the node's other parts, in tasks of its loop.
+// Shared, because charges may outlive the other parts of the node in event loop
+// tasks.
 using MemoryBudgetPtr = std::shared_ptr<MemoryBudget>;
 
-// What one object holds of one kind.
+// Memory charged by one object for one kind.
 class MemoryCharge final : public net::BufferMeter {
  public:
   MemoryCharge(MemoryBudgetPtr budget, MemoryKind kind)
@@ -126,17 +128,18 @@
   std::size_t     m_bytes = 0;
 };
 
-// A client for which bytes wait.
+// A client with buffered response bytes.
 struct ClientBuffer {
-  std::size_t waiting = 0;  // bytes
-  Duration    stalled = 0;  // ms since it took any
+  std::size_t waiting = 0;  // bytes buffered
+  Duration    stalled = 0;  // ms since the client last read
 };
 
 inline constexpr std::size_t kNoClient =
     std::numeric_limits<std::size_t>::max();
-// Whom a full node lets go: of those that took nothing for `patience`, the one
-// for which most waits; an index into `readers`, or kNoClient.
-std::size_t ChooseClientToDrop(const std::vector<ClientBuffer>& readers,
-                               Duration                         patience);
+// Chooses the client that a full node drops: the one with most buffered bytes
+// among those stalled for at least `stall_timeout`. Returns an index into
+// `clients`, or kNoClient.
+std::size_t ChooseClientToDrop(const std::vector<ClientBuffer>& clients,
+                               Duration                         stall_timeout);
 
 }  // namespace yuccawick::pressure
