--- a/src/yuccawick/traffic/affinity.cc
+++ b/src/yuccawick/traffic/affinity.cc
@@ -6,28 +6,28 @@
 
 std::string PreferredServer(const std::string&            program,
                             const std::vector<Candidate>& candidates,
-                            AffinityScope                 reach) {
+                            AffinityScope                 scope) {
   const XXH64_hash_t   seed = XXH3_64bits(program.data(), program.size());
-  const BackendServer* home = nullptr;
+  const BackendServer* preferred = nullptr;
   XXH64_hash_t         highest = 0;
   for (const Candidate& candidate : candidates) {
-    if (reach == AffinityScope::kZone && !candidate.same_zone) continue;
+    if (scope == AffinityScope::kZone && !candidate.same_zone) continue;
     const std::string& id = candidate.server->id;
     const auto weight = XXH3_64bits_withSeed(id.data(), id.size(), seed);
-    if (home != nullptr && weight <= highest) continue;
-    home = candidate.server;
+    if (preferred != nullptr && weight <= highest) continue;
+    preferred = candidate.server;
     highest = weight;
   }
-  return home == nullptr ? std::string() : home->id;
+  return preferred == nullptr ? std::string() : preferred->id;
 }
 
 AffinityScope ChooseAffinityScope(std::int64_t tokens, double memory_part,
                                   const PlacementWeights& weights) {
-  // A prompt grows with its line, and a line whose reach changed is read again:
-  // so it must be worth its way clearly.
-  constexpr double kClearly = 1.5;
+  // A prompt grows with its session. Changing the scope moves the session to
+  // another server, which recomputes the prompt, so the benefit must be clear.
+  constexpr double kMinBenefit = 1.5;
   return ReadingCost(tokens, memory_part, weights) >
-                 kClearly * weights.cross_zone
+                 kMinBenefit * weights.cross_zone
              ? AffinityScope::kAllZones
              : AffinityScope::kZone;
 }
--- a/src/yuccawick/traffic/affinity.h
+++ b/src/yuccawick/traffic/affinity.h
@@ -1,19 +1,18 @@
-// Where the prompt of an agent program is most likely cached, as far as nodes
-// can tell without asking each other.
+// Chooses the server that most likely has the prompt of an agent program
+// cached, without communication between nodes.
 //
-// Load pattern: the turns of one program come in at many nodes, and each prompt
-// repeats all that its program said before. A node that placed the last turn
-// knows where; the others would each pick a server of their own and have the
-// prompt read again. PreferredServer() gives all nodes of a zone the same
-// server for a program, by rendezvous hashing of the program over the zone's
-// servers: when a server comes or goes, only its programs move. It is a
-// preference of Placement, bounded by load like any other, and decides nothing
-// alone.
+// The turns of one program arrive at many nodes, and each prompt repeats the
+// earlier ones. A node remembers where it placed a session, but the other nodes
+// do not, and each would place it elsewhere and have the prompt recomputed.
+// PreferredServer() returns the same server for a program on all nodes of a
+// zone, by rendezvous hashing over the zone's servers: when a server is added
+// or removed, only its own programs move. The result is only a preference;
+// Placement weighs it against load.
 //
-// Lines of turns also change zones. For long prompts the home is therefore one
-// of all zones' servers, see ChooseAffinityScope(); for short ones the way
-// there and its bytes, paid with each turn, would cost more than reading the
-// prompt once more.
+// Sessions also move between zones. For long prompts the preferred server is
+// therefore chosen among the servers of all zones (ChooseAffinityScope). For
+// short ones, cross-zone traffic on each turn would cost more than recomputing
+// the prompt.
 #pragma once
 
 #include <string>
@@ -25,12 +24,13 @@
 
 enum class AffinityScope : std::uint8_t { kZone, kAllZones };
 
-// Id of the server, or empty: none within reach is among the candidates.
+// Returns the id of the server, or an empty string if no candidate is in scope.
 std::string PreferredServer(const std::string&            program,
                             const std::vector<Candidate>& candidates,
-                            AffinityScope                 reach);
+                            AffinityScope                 scope);
 
-// Whether a home in another zone is worth its way for a prompt of that length.
+// Whether a prompt of `tokens` is worth cross-zone traffic to its server.
+// `memory_part`: see Candidate.
 AffinityScope ChooseAffinityScope(std::int64_t tokens, double memory_part,
                                   const PlacementWeights& weights);
 
--- a/src/yuccawick/traffic/attempt.cc
+++ b/src/yuccawick/traffic/attempt.cc
@@ -19,7 +19,7 @@
 const AttemptChart& GetAttemptChart() {
   static const AttemptChart kChart = [] {
     auto chart = core::Chart::Parse(core::kAttemptChartText, kPhases, kEvents);
-    // Nothing can be decided without the chart, and it is compiled in.
+    // The chart is compiled in, so parsing it cannot fail at run time.
     if (!chart) std::abort();
     return AttemptChart(*chart);
   }();
@@ -42,27 +42,28 @@
   return kNames[static_cast<std::size_t>(step)];
 }
 
-NextStep DecideNextStep(const Route& route, const SendFailure& loss) {
-  const bool certain = loss.cause == SendFailureCause::kNotConnected ||
-                       loss.cause == SendFailureCause::kNotRun;
-  const bool may_have_run = loss.in_doubt || !certain;
+NextStep DecideNextStep(const Route& route, const SendFailure& failure) {
+  const bool certain = failure.cause == SendFailureCause::kNotConnected ||
+                       failure.cause == SendFailureCause::kNotRun;
+  const bool may_have_run = failure.in_doubt || !certain;
   const bool may_repeat = route.Repeatable() || !may_have_run;
   const bool has_time =
-      loss.left >= kLeastTimeToRepeat && loss.repeats < kMaxRepeats;
-  const NextStep give_up = loss.answering ? NextStep::kCutOff
-                           : may_have_run ? NextStep::kFail
-                                          : NextStep::kRefuse;
+      failure.left >= kMinTimeToRepeat && failure.repeats < kMaxRepeats;
+  const NextStep give_up = failure.answering ? NextStep::kCutOff
+                           : may_have_run    ? NextStep::kFail
+                                             : NextStep::kRefuse;
   if (!may_repeat || !has_time) return give_up;
-  // A server that takes no connection has ended or is cut off; it does not use
-  // up one of the servers that the route allows.
-  const bool more_servers = loss.cause == SendFailureCause::kNotConnected ||
-                            loss.servers_sent < route.max_attempts;
-  if (loss.other_server && more_servers) return NextStep::kOtherServer;
-  // The same server again costs no further server. One that is full stays full
-  // for longer than a repeat takes.
-  const bool same_helps = loss.cause == SendFailureCause::kBroken ||
-                          loss.cause == SendFailureCause::kBadAnswer;
-  return same_helps ? NextStep::kSameServer : give_up;
+  // A server that accepts no connection has stopped or is unreachable; it does
+  // not count towards the servers that the route allows.
+  const bool more_servers = failure.cause == SendFailureCause::kNotConnected ||
+                            failure.servers_sent < route.max_attempts;
+  if (failure.other_server && more_servers) return NextStep::kOtherServer;
+  // Repeating on the same server does not count as a further server. It does
+  // not help if the server is full, because that lasts longer than a repeat
+  // takes.
+  const bool repeat_helps = failure.cause == SendFailureCause::kBroken ||
+                            failure.cause == SendFailureCause::kBadAnswer;
+  return repeat_helps ? NextStep::kSameServer : give_up;
 }
 
 }  // namespace yuccawick::traffic
--- a/src/yuccawick/traffic/concurrency_limit.h
+++ b/src/yuccawick/traffic/concurrency_limit.h
@@ -1,24 +1,21 @@
-// How many turns a node has under way at the model servers, and which of those
-// that wait goes next.
+// Limits the turns that a node runs at the model servers, and orders those that
+// wait.
 //
-// Load pattern: for some seconds there come one and a half to three times as
-// many turns as the servers carry. A server works on as many as it has slots
-// and keeps the others in the order in which they came, whatever their urgency;
-// so all turns wait alike, each of a program's turns takes four times as long,
-// and nearly all programs miss their time, also those that came before the
-// burst. Turns therefore wait here, where the order can still be chosen.
+// In a burst above capacity, a model server serves as many turns as it has
+// slots and queues the rest first come, first served. All turns wait alike,
+// each program takes several times as long, and nearly all programs miss their
+// deadline. Turns therefore wait here, where the order can still be chosen.
 //
-// ConcurrencyLimit finds by itself how many may be under way. The operator says
-// within what time a first event is to come. Once most take longer, turns wait
-// at servers for too long, and fewer are sent until they come well within it.
-// No node needs to know what others send: all see the same servers grow slow.
-// While first events are in time nothing is held: all programs have time enough
-// to share the wait.
+// ConcurrencyLimit adapts the number of running turns to the observed time to
+// first event, compared with the objective set by the operator: above the
+// objective the limit shrinks, below it the limit grows. Nodes need not
+// exchange anything, because all of them observe the same slow servers. While
+// first events are in time, there is no limit.
 //
-// QueueRank() orders those that wait. Each program has a place of its own, by
-// its id, the same at every node and for all its turns: what the servers carry
-// goes to the programs in front, which end in time, and not a little to each.
-// Programs past their time come last; they go on when the burst is over.
+// QueueRank() orders the waiting turns. The rank is a hash of the program id,
+// the same on every node and for all turns of a program, so that capacity goes
+// to complete programs instead of a little to each. Programs past their
+// deadline rank last; they continue after the burst.
 #pragma once
 
 #include <deque>
@@ -33,17 +30,17 @@
 using net::Duration;
 using net::Time;
 
-// What ConcurrencyLimit may be told; times in ms.
+// Times in ms.
 struct ConcurrencyLimitSettings {
-  // First events as shares of their objective: above the first the limit sets
-  // in, and from then on it holds them at the second. 0: it never sets in. It
-  // helps where a burst is far above what the servers carry, and costs where
-  // programs have time to share a shorter wait; so the operator says.
+  // Ratios of time to first event to its objective: the limit engages above
+  // `engage` and then steers towards `target`. 0 turns it off. The limit helps
+  // in bursts far above capacity and costs throughput where programs have time
+  // to share a shorter wait, so the operator decides.
   double   engage = 0;
   double   target = 0.6;
-  // Between two changes of the limit: what is changed shows after as long.
+  // Between two changes of the limit; a change takes about as long to show.
   Duration pause = 150;
-  double   least = 2;  // turns that may always be under way
+  double   least = 2;  // minimum limit, in turns
 };
 
 class ConcurrencyLimit {
@@ -51,12 +48,12 @@
   explicit ConcurrencyLimit(const ConcurrencyLimitSettings& settings)
       : m_settings(settings) {}
 
-  // A turn's first event came so long after it was sent; `objective`: within
-  // what time it was to come, in ms; 0: not said, and it tells nothing.
-  void   Observe(Duration took, Duration objective, Time now);
-  // `under_way`: turns at servers now.
+  // Records a time to first event. `objective`: intended maximum in ms; samples
+  // without one (0) are ignored.
+  void   Observe(Duration latency, Duration objective, Time now);
+  // `under_way`: turns now running at the servers.
   bool   MayStart(int under_way, Time now);
-  // Nothing: no bound.
+  // Only valid if bounded().
   double limit() const { return m_limit; }
   bool   bounded() const { return m_bounded; }
 
@@ -72,11 +69,11 @@
   std::deque<Sample>       m_samples;
   double                   m_limit = 0;
   bool                     m_bounded = false;
-  Time                     m_adapt_at = 0;
+  Time                     m_next_adapt = 0;
 };
 
-// Lower goes first. `priority`: 0 is first. `left`: until the program should be
-// finished, in ms; nothing: it does not say.
+// Rank of a waiting turn; lower goes first. `priority`: 0 is most urgent.
+// `left`: ms until the deadline of the program; nullopt if it has none.
 double QueueRank(std::string_view program, int priority,
                  std::optional<Duration> left);
 
--- a/src/yuccawick/traffic/directory.cc
+++ b/src/yuccawick/traffic/directory.cc
@@ -5,7 +5,7 @@
 namespace yuccawick::traffic {
 
 void Directory::Put(const BackendServer& server) {
-  m_lapsed.erase(server.entry);
+  m_delayed_removals.erase(server.entry);
   auto& known = m_servers[server.entry];
   if (known == server) return;
   known = server;
@@ -19,11 +19,12 @@
     m_changed = true;
     return;
   }
-  m_lapsed.try_emplace(entry, m_reachable ? m_grace_end : now + kReturnGrace);
+  m_delayed_removals.try_emplace(
+      entry, m_reachable ? m_grace_end : now + kRecoveryGrace);
 }
 
 void Directory::Drop(const std::string& entry) {
-  m_lapsed.erase(entry);
+  m_delayed_removals.erase(entry);
   m_changed = m_servers.erase(entry) > 0 || m_changed;
 }
 
@@ -43,18 +44,18 @@
 void Directory::SetReachable(bool reachable, Time now) {
   if (reachable == m_reachable) return;
   m_reachable = reachable;
-  if (reachable) m_grace_end = now + kReturnGrace;
+  if (reachable) m_grace_end = now + kRecoveryGrace;
 }
 
 void Directory::Expire(Time now) {
   if (!m_reachable) return;
-  for (auto it = m_lapsed.begin(); it != m_lapsed.end();) {
+  for (auto it = m_delayed_removals.begin(); it != m_delayed_removals.end();) {
     if (now < it->second) {
       ++it;
       continue;
     }
     m_changed = m_servers.erase(it->first) > 0 || m_changed;
-    it = m_lapsed.erase(it);
+    it = m_delayed_removals.erase(it);
   }
 }
 
--- a/src/yuccawick/traffic/directory.h
+++ b/src/yuccawick/traffic/directory.h
@@ -1,10 +1,10 @@
-// Which backend servers there are, from the platform's service discovery.
+// The backend servers known from service discovery.
 //
-// Servers register themselves and renew their entry; an entry that is not
-// renewed is removed. While discovery is unreachable, nothing read from it is
-// taken as news. Entries may have lapsed meanwhile only because their servers
-// could not renew them: removals read around the return of discovery wait for
-// `kReturnGrace`, so that a short outage does not empty every service at once.
+// Servers register themselves and renew their entries; expired entries are
+// removed. Entries that expire during a discovery outage may only be missing
+// because their servers could not renew them. Removals are therefore not
+// applied during an outage, and are delayed by up to `kRecoveryGrace` around
+// its end, so that a short outage does not empty every service.
 #pragma once
 
 #include <map>
@@ -20,21 +20,21 @@
 using net::Duration;
 using net::Time;
 
-// Servers that live register again within about two seconds of the return of
-// discovery (stated by the platform); after that an absent entry is final.
-inline constexpr Duration kReturnGrace = 2000;  // ms
+// Within this time after an outage, running servers register again; an entry
+// still absent then is removed.
+inline constexpr Duration kRecoveryGrace = 2000;  // ms
 
-// A server may start again under the entry that it had, and then holds and
-// knows nothing of before. Whatever is kept by server (loads, failures, cached
-// prompts, connections) is kept by `id`, so that none of it outlives a start.
+// A server may restart under the same entry, with no state from before. State
+// kept per server (load, failures, cached prompts, connections) is keyed by
+// `id`, so that it does not survive a restart.
 struct BackendServer {
-  std::string   id;     // of one start
-  std::string   entry;  // in discovery; what the server calls itself
+  std::string   id;     // unique to one start
+  std::string   entry;  // name in discovery
   std::string   service;
   net::Endpoint endpoint;
   std::string   zone;
-  int           slots = 1;         // requests at once
-  bool          draining = false;  // leaving: gets no new work
+  int           slots = 1;         // concurrent requests
+  bool          draining = false;  // receives no new work
 
   bool operator==(const BackendServer&) const = default;
 };
@@ -45,26 +45,26 @@
 class Directory {
  public:
   void          Put(const BackendServer& server);
-  // The entry is gone; at once, or after the grace of a recent outage.
+  // Removes an entry; delayed within the grace period of an outage.
   void          Remove(const std::string& entry, Time now);
-  // The entry holds something that names no server: it lives, and whatever was
-  // read there before is not it.
+  // Removes an entry at once: it exists, but its value does not describe a
+  // server.
   void          Drop(const std::string& entry);
-  // A complete listing: what it does not name is gone.
+  // Applies a complete listing; absent entries are removed.
   void          ReplaceAll(const ServerList& servers, Time now);
   void          SetReachable(bool reachable, Time now);
-  // Carries out removals that are due. Call often.
+  // Performs the delayed removals that are due. Call periodically.
   void          Expire(Time now);
-  // True once after each change of what List() returns.
+  // Returns true once after each change of List().
   bool          TakeChange();
   ServerListPtr List() const;
 
  private:
-  std::map<std::string, BackendServer> m_servers;  // by entry
-  std::map<std::string, Time>          m_lapsed;   // entry: when it is final
-  bool                                 m_reachable = true;
-  Time                                 m_grace_end = 0;
-  bool                                 m_changed = false;
+  std::map<std::string, BackendServer> m_servers;  // keyed by entry
+  std::map<std::string, Time> m_delayed_removals;  // removal time by entry
+  bool                        m_reachable = true;
+  Time                        m_grace_end = 0;
+  bool                        m_changed = false;
 };
 
 }  // namespace yuccawick::traffic
--- a/src/yuccawick/traffic/event_stream.cc
+++ b/src/yuccawick/traffic/event_stream.cc
@@ -3,9 +3,9 @@
 namespace yuccawick::traffic {
 namespace {
 
-// Value of "NAME: VALUE" or "NAME:VALUE" if the line has that name.
-bool FieldOf(std::string_view line, std::string_view name,
-             std::string_view* value) {
+// Parses "NAME: VALUE" or "NAME:VALUE"; false if the line has another name.
+bool ParseField(std::string_view line, std::string_view name,
+                std::string_view* value) {
   if (!line.starts_with(name)) return false;
   line.remove_prefix(name.size());
   if (!line.starts_with(":")) return false;
@@ -15,7 +15,7 @@
   return true;
 }
 
-void Describe(StreamEvent* event) {
+void ParseEventFields(StreamEvent* event) {
   std::string_view rest = event->bytes;
   bool             first = true;
   while (!rest.empty()) {
@@ -24,8 +24,8 @@
     rest.remove_prefix(end == std::string_view::npos ? rest.size() : end + 1);
     if (line.ends_with("\r")) line.remove_suffix(1);
     std::string_view value;
-    if (FieldOf(line, "id", &value)) event->id = value;
-    if (FieldOf(line, "data", &value)) {
+    if (ParseField(line, "id", &value)) event->id = value;
+    if (ParseField(line, "data", &value)) {
       if (!first) event->data += '\n';
       event->data += value;
       first = false;
@@ -45,20 +45,20 @@
 bool EventSplitter::Next(StreamEvent* event) {
   std::string_view rest = m_buffer;
   rest.remove_prefix(m_start);
-  const auto  plain = rest.find("\n\n");
-  const auto  with_returns = rest.find("\r\n\r\n");
+  const auto  lf_position = rest.find("\n\n");
+  const auto  crlf_position = rest.find("\r\n\r\n");
   std::size_t size = 0;
-  if (with_returns < plain) {
-    size = with_returns + 4;
-  } else if (plain != std::string_view::npos) {
-    size = plain + 2;
+  if (crlf_position < lf_position) {
+    size = crlf_position + 4;
+  } else if (lf_position != std::string_view::npos) {
+    size = lf_position + 2;
   } else {
     return false;
   }
   *event = {};
   event->bytes = rest.substr(0, size);
   m_start += size;
-  Describe(event);
+  ParseEventFields(event);
   return true;
 }
 
--- a/src/yuccawick/traffic/event_stream.h
+++ b/src/yuccawick/traffic/event_stream.h
@@ -1,7 +1,7 @@
-// Splits a text/event-stream into whole events.
+// Splits a text/event-stream into complete events.
 //
-// A server may stop in the middle of an event; only whole events are passed on,
-// so that a stream can go on elsewhere after the last one.
+// A server may fail in the middle of an event. Only complete events are passed
+// on, so that the stream can be resumed elsewhere after the last one.
 #pragma once
 
 #include <string>
@@ -10,21 +10,22 @@
 namespace yuccawick::traffic {
 
 struct StreamEvent {
-  std::string_view bytes;  // as received, its blank line included
-  std::string_view id;     // empty if it has none
-  std::string      data;   // its data lines, joined by line feeds
+  std::string_view bytes;  // as received, with its blank line
+  std::string_view id;     // empty if absent
+  std::string      data;   // data lines, joined by line feeds
 };
 
-// Longest event taken, in bytes; far above the largest text of one event.
+// Maximum size of an event, in bytes.
 inline constexpr std::size_t kMaxEventBytes = 1UL << 20;
 
 class EventSplitter {
  public:
-  // Adds bytes; false if an event grew past kMaxEventBytes.
+  // Appends received bytes; false if an event exceeds kMaxEventBytes.
   bool Add(std::string_view bytes);
-  // The next whole event, valid until the next call; false if there is none.
+  // Returns the next complete event, whose views are valid until the next call
+  // of Add(); false if there is none.
   bool Next(StreamEvent* event);
-  // Bytes of an event whose end has not come.
+  // True if an incomplete event is buffered.
   bool has_partial() const { return m_start < m_buffer.size(); }
 
  private:
--- a/src/yuccawick/traffic/manifest.cc
+++ b/src/yuccawick/traffic/manifest.cc
@@ -35,7 +35,7 @@
 RouteTable::RouteTable(ManifestPtr manifest) : m_manifest(std::move(manifest)) {
   for (const Route& route : m_manifest->routes) {
     HostRoutes& host = m_by_host[route.host];
-    // Of two routes with the same prefix the first holds.
+    // If two routes have the same prefix, the first one wins.
     host.by_prefix.emplace(route.path_prefix, &route);
     host.longest = std::max(host.longest, route.path_prefix.size());
   }
@@ -46,8 +46,8 @@
   const auto found = m_by_host.find(host);
   if (found == m_by_host.end()) return nullptr;
   const HostRoutes& host_routes = found->second;
-  // Longer beginnings of the path are no prefix: a path of thousands of slashes
-  // costs no more look-ups.
+  // Longer prefixes cannot match. Cutting them off bounds the lookups for a
+  // path of thousands of slashes.
   std::string_view  prefix = path.substr(0, host_routes.longest);
   for (auto slash = prefix.rfind('/'); slash != std::string_view::npos;
        slash = prefix.rfind('/')) {
@@ -61,11 +61,13 @@
 const std::string& PickService(const Route& route, double draw) {
   const auto total = std::accumulate(
       route.services.begin(), route.services.end(), std::int64_t{0},
-      [](std::int64_t sum, const auto& part) { return sum + part.weight; });
-  double left = draw * static_cast<double>(total);
-  for (const WeightedService& part : route.services) {
-    left -= static_cast<double>(part.weight);
-    if (left < 0) return part.service;
+      [](std::int64_t sum, const auto& weighted) {
+        return sum + weighted.weight;
+      });
+  double remaining = draw * static_cast<double>(total);
+  for (const WeightedService& weighted : route.services) {
+    remaining -= static_cast<double>(weighted.weight);
+    if (remaining < 0) return weighted.service;
   }
   return route.services.back().service;
 }
--- a/src/yuccawick/traffic/outage_retry.h
+++ b/src/yuccawick/traffic/outage_retry.h
@@ -1,13 +1,11 @@
-// How long a request waits for a log that answers no node, and when its client
-// comes back.
+// Decides how long a request waits for an unavailable log, and when its client
+// should retry.
 //
-// Load pattern: the log is away for several seconds, and every program under
-// way asks for a turn that cannot be kept, counted or admitted until it is
-// back. A client has few tries for a turn and few repeats of a turn; a program
-// whose tries are used up ends. So each try lets as much time pass as its
-// client bears: a part of it here, the rest until the client's return. A client
-// that is held for most of its time has none left for its turn once the log is
-// back, or for another try.
+// During a log outage no turn can be persisted, counted or admitted. Clients
+// have a limited number of tries, so each try should last as long as the client
+// tolerates: part of the time is spent waiting here, the rest is the retry
+// delay. Holding a request for most of its client's time would leave too little
+// for the turn itself or for another try.
 #pragma once
 
 #include "yuccawick/net/event_loop.h"
@@ -15,17 +13,18 @@
 namespace yuccawick::traffic {
 
 struct OutageSettings {
-  net::Duration hold = 2000;        // ms, at the most
-  double        hold_share = 0.45;  // of the time that a client has left
+  net::Duration hold = 2000;        // maximum, in ms
+  double        hold_share = 0.45;  // share of the client's time left
 };
 
-// Clients heed a time to come back up to this part of what they have left.
+// Maximum retry delay that clients honor, as a share of their time left.
 inline constexpr double kMaxRetryDelayShare = 1.0 / 3.0;
 
-// `left`: of the client's time when its request came, in ms.
+// `left`: ms that the client still waits when its request arrives.
 net::Duration OutageHoldTime(const OutageSettings& settings,
                              net::Duration         left);
-// `left`: of the client's time; `draw`: uniform in [0, 1), spreads returns.
+// `left`: ms that the client still waits; `draw`: uniform in [0, 1), for
+// jitter.
 net::Duration OutageRetryDelay(net::Duration left, double draw);
 
 }  // namespace yuccawick::traffic
--- a/src/yuccawick/traffic/outcomes.cc
+++ b/src/yuccawick/traffic/outcomes.cc
@@ -6,11 +6,10 @@
 namespace yuccawick::traffic {
 namespace {
 
-// Sound services fail one request in a hundred by themselves.
-constexpr double kTolerated = 0.1;
-// Answers that are taken to have been sound before the first one was seen: one
-// failure alone is no sign.
-constexpr double kBenefitOfDoubt = 3.0;
+// Failure share of a healthy service that is ignored.
+constexpr double kToleratedShare = 0.1;
+// Assumed successful answers, so that a single failure does not count much.
+constexpr double kPriorSuccesses = 3.0;
 
 }  // namespace
 
@@ -21,21 +20,21 @@
 }
 
 OutcomeCounts Outcomes::At(Time now) const {
-  const double age = static_cast<double>(now - m_as_of) / kOutcomeHalfLife;
-  const double rest = std::exp2(-age);
-  return {m_counts.answers * rest, m_counts.failures * rest};
+  const double age = static_cast<double>(now - m_updated_at) / kOutcomeHalfLife;
+  const double decay = std::exp2(-age);
+  return {m_counts.answers * decay, m_counts.failures * decay};
 }
 
 void Outcomes::Observe(bool failed, Time now) {
   m_counts = At(now);
-  m_as_of = now;
+  m_updated_at = now;
   m_counts.answers += 1.0;
   if (failed) m_counts.failures += 1.0;
 }
 
 double FailureShare(const OutcomeCounts& counts) {
-  const double share = counts.failures / (counts.answers + kBenefitOfDoubt);
-  return std::max(0.0, share - kTolerated) / (1.0 - kTolerated);
+  const double share = counts.failures / (counts.answers + kPriorSuccesses);
+  return std::max(0.0, share - kToleratedShare) / (1.0 - kToleratedShare);
 }
 
 }  // namespace yuccawick::traffic
--- a/src/yuccawick/traffic/outcomes.h
+++ b/src/yuccawick/traffic/outcomes.h
@@ -1,8 +1,8 @@
-// How the answers of one backend server turned out lately.
+// Recent successes and failures of one backend server.
 //
-// Counts fade: an outcome weighs half after kOutcomeHalfLife. A server that
-// fails at once is the least loaded one, and without this would draw all
-// traffic; with it, its share of failures counts as load.
+// Counts decay exponentially. A server that fails fast has little load and
+// would attract all traffic; its failure share therefore counts as load
+// (FailureShare).
 #pragma once
 
 #include "yuccawick/net/event_loop.h"
@@ -14,13 +14,13 @@
 
 struct OutcomeCounts {
   double answers = 0;
-  double failures = 0;  // of these
+  double failures = 0;  // included in answers
 
   OutcomeCounts& operator+=(const OutcomeCounts& other);
 };
 
-// Long enough for a handful of answers from each server, short enough that a
-// mended server is tried again within some seconds.
+// Covers several answers of each server, and lets a repaired server be tried
+// again within seconds.
 inline constexpr Duration kOutcomeHalfLife = 1000;  // ms
 
 class Outcomes {
@@ -30,11 +30,11 @@
 
  private:
   OutcomeCounts m_counts;
-  Time          m_as_of = 0;
+  Time          m_updated_at = 0;
 };
 
-// Share of failures that counts against a server, 0 to 1: none for the few that
-// every service has, nor for one failure among few answers.
+// Share of failures that counts against a server, 0 to 1. The usual failures of
+// a healthy service and single failures do not count.
 double FailureShare(const OutcomeCounts& counts);
 
 }  // namespace yuccawick::traffic
--- a/src/yuccawick/traffic/placement.cc
+++ b/src/yuccawick/traffic/placement.cc
@@ -12,34 +12,35 @@
          std::max(1, candidate.server->slots);
 }
 
-double Failing(const Candidate& candidate, const PlacementWeights& weights) {
+double FailureCost(const Candidate&        candidate,
+                   const PlacementWeights& weights) {
   return weights.failure *
          (candidate.recent_failures + candidate.failure_share);
 }
 
-double PaceCounted(double pace, const PlacementWeights& weights) {
+double SlowdownFactor(double slowdown, const PlacementWeights& weights) {
   const double tolerance = weights.slowdown_tolerance;
-  if (pace > tolerance)
-    return std::pow(pace / tolerance, weights.slowdown_exponent);
-  if (pace * tolerance < 1.0)
-    return std::pow(pace * tolerance, weights.slowdown_exponent);
+  if (slowdown > tolerance)
+    return std::pow(slowdown / tolerance, weights.slowdown_exponent);
+  if (slowdown * tolerance < 1.0)
+    return std::pow(slowdown * tolerance, weights.slowdown_exponent);
   return 1.0;
 }
 
-// Lowest cost; among equals, the one that the draw falls on.
+// Returns the candidate with the lowest cost; `draw` breaks ties.
 template <class Cost>
-std::size_t Cheapest(const std::vector<Candidate>& candidates, double draw,
-                     Cost cost) {
-  constexpr double         kSame = 1e-9;
+std::size_t ChooseLowestCost(const std::vector<Candidate>& candidates,
+                             double draw, Cost cost) {
+  constexpr double         kEpsilon = 1e-9;
   double                   best = cost(candidates.front());
   std::vector<std::size_t> ties;
   for (std::size_t i = 0; i < candidates.size(); ++i) {
-    const double price = cost(candidates[i]);
-    if (price < best - kSame) {
-      best = price;
+    const double value = cost(candidates[i]);
+    if (value < best - kEpsilon) {
+      best = value;
       ties.clear();
     }
-    if (price <= best + kSame) ties.push_back(i);
+    if (value <= best + kEpsilon) ties.push_back(i);
   }
   const auto pick =
       static_cast<std::size_t>(draw * static_cast<double>(ties.size()));
@@ -51,9 +52,10 @@
   explicit LeastLoaded(const PlacementWeights& weights) : m_weights(weights) {}
   std::size_t Choose(const std::vector<Candidate>& candidates,
                      double                        draw) const override {
-    return Cheapest(candidates, draw, [this](const Candidate& candidate) {
-      return LoadPerSlot(candidate) + Failing(candidate, m_weights);
-    });
+    return ChooseLowestCost(
+        candidates, draw, [this](const Candidate& candidate) {
+          return LoadPerSlot(candidate) + FailureCost(candidate, m_weights);
+        });
   }
 
  private:
@@ -66,39 +68,42 @@
       : m_weights(weights) {}
   std::size_t Choose(const std::vector<Candidate>& candidates,
                      double                        draw) const override {
-    return Cheapest(candidates, draw, [this](const Candidate& candidate) {
-      double cost = LoadPerSlot(candidate);
-      if (!candidate.same_zone) cost += m_weights.cross_zone;
-      if (!candidate.holds_prefix)
-        cost += ReadingCost(candidate.prompt_tokens, candidate.memory_part,
-                            m_weights);
-      return cost + Failing(candidate, m_weights);
-    });
+    return ChooseLowestCost(
+        candidates, draw, [this](const Candidate& candidate) {
+          double cost = LoadPerSlot(candidate);
+          if (!candidate.same_zone) cost += m_weights.cross_zone;
+          if (!candidate.holds_prefix)
+            cost += ReadingCost(candidate.prompt_tokens, candidate.memory_part,
+                                m_weights);
+          return cost + FailureCost(candidate, m_weights);
+        });
   }
 
  private:
   PlacementWeights m_weights;
 };
 
-// In turns at the median server. A slow server takes longer for the turn and
-// for those that wait before it. Places that are taken slow a turn down only by
-// what is read beside it, at any server alike.
+// Estimates when the turn would end, in turns at the median server. Slowdown
+// multiplies the turn and the queue before it. Occupied slots add a cost that
+// does not depend on the slowdown.
 class SoonestEnd final : public Placement {
  public:
   explicit SoonestEnd(const PlacementWeights& weights) : m_weights(weights) {}
   std::size_t Choose(const std::vector<Candidate>& candidates,
                      double                        draw) const override {
-    return Cheapest(candidates, draw, [this](const Candidate& candidate) {
-      const double load = LoadPerSlot(candidate);
-      double       turn = 1.0 + std::max(0.0, load - 1.0);
-      if (!candidate.holds_prefix)
-        turn += ReadingCost(candidate.prompt_tokens, candidate.memory_part,
-                            m_weights);
-      double cost = PaceCounted(candidate.slowdown, m_weights) * turn;
-      cost += std::min(1.0, load);
-      if (!candidate.same_zone) cost += m_weights.cross_zone;
-      return cost + Failing(candidate, m_weights);
-    });
+    return ChooseLowestCost(
+        candidates, draw, [this](const Candidate& candidate) {
+          const double load = LoadPerSlot(candidate);
+          double       turn_cost = 1.0 + std::max(0.0, load - 1.0);
+          if (!candidate.holds_prefix)
+            turn_cost += ReadingCost(candidate.prompt_tokens,
+                                     candidate.memory_part, m_weights);
+          double cost =
+              SlowdownFactor(candidate.slowdown, m_weights) * turn_cost;
+          cost += std::min(1.0, load);
+          if (!candidate.same_zone) cost += m_weights.cross_zone;
+          return cost + FailureCost(candidate, m_weights);
+        });
   }
 
  private:
@@ -120,12 +125,12 @@
 void SampleCandidates(std::vector<Candidate>* candidates,
                       const Sampling& sampling, std::mt19937_64* random) {
   if (static_cast<std::int64_t>(candidates->size()) <= sampling.few) return;
-  std::bernoulli_distribution stays(sampling.share);
-  std::vector<Candidate>      some;
+  std::bernoulli_distribution keep(sampling.share);
+  std::vector<Candidate>      sampled;
   for (const Candidate& candidate : *candidates) {
-    if (candidate.holds_prefix || stays(*random)) some.push_back(candidate);
+    if (candidate.holds_prefix || keep(*random)) sampled.push_back(candidate);
   }
-  if (!some.empty()) *candidates = std::move(some);
+  if (!sampled.empty()) *candidates = std::move(sampled);
 }
 
 std::unique_ptr<Placement> MakePlacement(PlacementKind           kind,
--- a/src/yuccawick/traffic/placement.h
+++ b/src/yuccawick/traffic/placement.h
@@ -1,9 +1,13 @@
-// Which backend server a request goes to.
+// Chooses the backend server for a request.
 //
-// A strategy sees candidates with what is known of their load and returns one.
-// Strategies hold no state and read no clock, so each is tested with a table of
-// candidates. LeastLoaded is the baseline; SoonestEnd is what runs. It is
-// ZoneAndPrefix, which takes all servers for equally fast, with their pace.
+// A strategy gets candidates with what is known of their load, and returns one.
+// Strategies have no state and no clock, so they are tested with tables of
+// candidates.
+//
+//   LeastLoaded    load and failures only; the baseline
+//   ZoneAndPrefix  also zone and cached prompt; treats all servers as equally
+//                  fast
+//   SoonestEnd     ZoneAndPrefix with the slowdown of servers; the default
 #pragma once
 
 #include <cstdint>
@@ -18,17 +22,17 @@
 
 struct Candidate {
   const BackendServer* server = nullptr;
-  int    local_load = 0;        // requests this node has under way there
-  int    peer_load = 0;         // the same of other nodes, as last heard
-  bool   same_zone = false;     // as this node
-  bool   holds_prefix = false;  // has the request's prompt cached, most likely
-  int    recent_failures = 0;   // since its last success
-  double failure_share = 0;     // of its latest answers, 0 to 1
+  int                  local_load = 0;        // requests of this node
+  int                  peer_load = 0;         // last reported by the peers
+  bool                 same_zone = false;     // as this node
+  bool                 holds_prefix = false;  // probably has the prompt cached
+  int                  recent_failures = 0;   // since the last success
+  double               failure_share = 0;     // of recent answers, 0 to 1
   std::int64_t prompt_tokens = 0;  // of the request, if not cached there
-  // Of the memory that the server has for each of its slots, what the prompt
-  // takes; 0: not known.
+  // Memory of the prompt, relative to the server's memory per slot; 0 if
+  // unknown.
   double       memory_part = 0;
-  double slowdown = 1;  // time of the same work, in medians of the service
+  double       slowdown = 1;  // relative to the median
 
   int load() const { return local_load + peer_load; }
 };
@@ -36,49 +40,49 @@
 class Placement {
  public:
   virtual ~Placement() = default;
-  // Index of the chosen candidate; `candidates` is not empty. `draw` is uniform
-  // in [0, 1) and settles ties, so that nodes with the same view spread.
+  // Returns the index of the chosen candidate; `candidates` must not be empty.
+  // `draw` is uniform in [0, 1) and breaks ties, so that nodes with the same
+  // view choose different servers.
   virtual std::size_t Choose(const std::vector<Candidate>& candidates,
                              double                        draw) const = 0;
 };
 
-// Load, in requests waiting or running per slot, at which the advantages of a
-// near or warm server stop to count; see docs/design.
+// Costs in units of load, that is, waiting or running requests per slot; see
+// docs/design.
 struct PlacementWeights {
   double cross_zone = 0.45;
-  // What a prompt that has to be read there counts as: at least, for each 1,000
-  // of its tokens, at most. A step of an engine takes longer by what it reads,
-  // for all requests that run there.
+  // Cost of computing a prompt that is not cached: minimum, per 1,000 tokens,
+  // and maximum. A long prompt slows down all requests that run beside it.
   double cold_prefix = 0.15;
   double cold_per_1000 = 0.06;
-  // The same by the memory that it takes there, in parts of a slot's. Where
-  // memory is short, a second copy of a prompt evicts that of another program,
-  // which is then read again in its turn.
+  // Cost of the memory that a second copy takes, per slot's share of memory.
+  // Where memory is short, the copy evicts the prompt of another program, which
+  // must then be recomputed.
   double cold_memory = 1.7;
   double cold_most = 1.0;
-  double failure = 4.0;  // any healthy server first; also of a share of one
-  // Power to which the pace counts; 0: all servers are taken for equally fast.
+  double failure = 4.0;  // per recent failure, and for a failure share of 1
+  // Exponent of the slowdown in the cost; 0 ignores it.
   double slowdown_exponent = 1.2;
-  // Paces up to this, and down to one over it, count as the median: servers
-  // that are equal seem to differ by as much, by what their turns read.
+  // Slowdowns from 1 / slowdown_tolerance to slowdown_tolerance count as 1:
+  // equal servers appear to differ that much, depending on their prompts.
   double slowdown_tolerance = 1.35;
 };
 
-// What a prompt that is not cached counts as.
+// Cost of computing a prompt that is not cached.
 double ReadingCost(std::int64_t tokens, double memory_part,
                    const PlacementWeights& weights);
 
-// How many of the servers a node looks at for one request.
+// Limits the servers that are considered for one request.
 struct Sampling {
-  double       share = 0.34;  // of the candidates, each by chance
-  std::int64_t few = 16;      // so many or fewer are all looked at
-  std::int64_t most = 128;    // of larger services, so many come into question
+  double       share = 0.34;  // probability of each candidate
+  std::int64_t few = 16;      // up to this many are all considered
+  std::int64_t most = 128;    // upper bound for large services
 };
 
-// Leaves some of the candidates. What nodes know of each other's load is older
-// than a turn at its start: if all looked at all servers, they would all find
-// the same one idle, and fill it before they hear of each other. The one that
-// holds the prefix stays.
+// Removes candidates at random, but keeps the one that holds the prefix.
+// Reports of peer load are older than a turn takes to start: if all nodes
+// considered all servers, they would choose the same idle one and fill it
+// before the next report.
 void SampleCandidates(std::vector<Candidate>* candidates,
                       const Sampling& sampling, std::mt19937_64* random);
 
--- a/src/yuccawick/traffic/refusal.cc
+++ b/src/yuccawick/traffic/refusal.cc
@@ -8,7 +8,7 @@
 struct Row {
   std::string_view name;
   int              status;
-  bool             invites_return;
+  bool             is_retriable;
 };
 
 constexpr std::array<Row, kRefusalCount> kRows{{
@@ -37,7 +37,7 @@
 }
 
 bool IsRetriable(Refusal refusal) {
-  return kRows[static_cast<std::size_t>(refusal)].invites_return;
+  return kRows[static_cast<std::size_t>(refusal)].is_retriable;
 }
 
 }  // namespace yuccawick::traffic
--- a/src/yuccawick/traffic/request.h
+++ b/src/yuccawick/traffic/request.h
@@ -1,4 +1,5 @@
-// One client attempt, and what a backend server said of it, in our own terms.
+// One client attempt, and the response head of a backend server, independent of
+// the wire format.
 #pragma once
 
 #include <cstdint>
@@ -13,28 +14,28 @@
 using net::Time;
 
 struct RequestInfo {
-  std::string                 attempt;  // unique to this attempt of a client
+  std::string                 attempt;  // unique id of the attempt
   std::string                 host;
-  std::optional<Duration>     deadline;      // ms the client still waits
-  std::string                 program;       // agent program; empty: none
-  std::string                 session;       // line of turns in the program
-  std::optional<Duration>     program_left;  // ms until it should be finished
-  std::optional<std::int64_t> budget;        // tokens of the whole program
+  std::optional<Duration>     deadline;      // ms that the client waits
+  std::string                 program;       // empty: none
+  std::string                 session;       // chain of turns in the program
+  std::optional<Duration>     program_left;  // ms to the program's deadline
+  std::optional<std::int64_t> budget;        // tokens of the program
   std::int64_t                prompt_tokens = 0;
-  // Of the prompt, that other programs' prompts begin with as well.
+  // Tokens of the prompt prefix shared with other programs.
   std::int64_t                shared_tokens = 0;
-  std::int64_t                max_tokens = 0;  // that the turn may generate
+  std::int64_t                max_tokens = 0;  // limit of generated tokens
   std::string                 previous_turn;
-  std::string                 last_event;  // resumes after this event
+  std::string                 last_event;  // resume after this event
   std::string                 prefix;      // id of the first prompt part
-  std::string                 key;  // of its workspace; secret; empty: none
+  std::string                 key;         // workspace key; secret; empty: none
 };
 
 struct AnswerInfo {
-  std::string             attempt;  // the one it answers; empty: not said
-  bool                    stamped = false;  // carries the server's signature
-  bool                    not_run = false;  // the server vouches for that
-  bool                    encoded = false;  // a body that nobody asked for
+  std::string             attempt;  // that it answers; empty: not stated
+  bool                    stamped = false;  // has the server's signature
+  bool                    not_run = false;  // server states it did not run
+  bool                    encoded = false;  // has an unrequested encoding
   bool                    event_stream = false;
   std::optional<Duration> retry_after;  // ms
 };
--- a/src/yuccawick/traffic/server_pool.h
+++ b/src/yuccawick/traffic/server_pool.h
@@ -1,8 +1,9 @@
-// The servers of one service, of which a request looks at a bounded number.
+// The servers of one service, with queries that return a bounded number of
+// them.
 //
-// Load pattern: with 300 nodes before 3,000 servers, a request that looks at
-// all of them costs its node more than its answer does. Draw() and Around()
-// cost what they return, however many servers there are.
+// In large deployments, looking at all servers for each request would cost a
+// node more than serving it. The cost of Draw() and Around() depends on the
+// number of servers returned, not on the size of the pool.
 #pragma once
 
 #include <random>
@@ -17,29 +18,29 @@
 
 class ServerPool {
  public:
-  // The servers must outlive the pool or the next Assign().
+  // The servers must stay valid until the next Assign() or the end of the pool.
   void Assign(std::vector<const BackendServer*> servers,
               const std::string&                zone);
 
-  // Up to `most` servers by chance, each with the same chance; valid until the
-  // next call.
-  std::span<const BackendServer* const> Draw(std::size_t      most,
+  // Up to `limit` servers chosen at random with equal probability; valid
+  // until the next call.
+  std::span<const BackendServer* const> Draw(std::size_t      limit,
                                              std::mt19937_64* random);
-  // Up to `most` servers among which the program's home is, the same on all
-  // nodes of a zone. A server that comes or goes moves only its neighbours'
-  // programs.
+  // Up to `limit` servers around the program's position on the hash ring,
+  // from which PreferredServer() chooses; the same on all nodes of a zone.
+  // Adding or removing a server affects only programs near its position.
   std::vector<const BackendServer*>     Around(const std::string& program,
-                                               AffinityScope      reach,
-                                               std::size_t        most) const;
+                                               AffinityScope      scope,
+                                               std::size_t        limit) const;
 
   const std::vector<const BackendServer*>& all() const { return m_servers; }
 
  private:
   struct Point {
-    std::uint64_t        at = 0;
+    std::uint64_t        position = 0;
     const BackendServer* server = nullptr;
   };
-  using Ring = std::vector<Point>;  // by position
+  using Ring = std::vector<Point>;  // sorted by position
 
   std::vector<const BackendServer*> m_servers;
   Ring                              m_ring;
--- a/src/yuccawick/traffic/urgency.cc
+++ b/src/yuccawick/traffic/urgency.cc
@@ -5,11 +5,11 @@
 namespace yuccawick::traffic {
 namespace {
 
-int LevelOf(std::optional<net::Duration> left) {
-  if (!left) return kHurryLevels;
+int TimeLevel(std::optional<net::Duration> left) {
+  if (!left) return kTimeLevels;
   int           level = 0;
-  net::Duration limit = kHurry;
-  while (level<kHurryLevels&& * left> limit) {
+  net::Duration limit = kMostUrgentTime;
+  while (level<kTimeLevels&& * left> limit) {
     ++level;
     limit *= 2;
   }
@@ -20,7 +20,7 @@
 
 int ComputeUrgency(int priority, std::optional<net::Duration> left) {
   const int first = kLevelsPerPriority * std::max(priority, 0);
-  return std::min(first + LevelOf(left), kLeastUrgent);
+  return std::min(first + TimeLevel(left), kLeastUrgent);
 }
 
 }  // namespace yuccawick::traffic
--- a/src/yuccawick/traffic/urgency.h
+++ b/src/yuccawick/traffic/urgency.h
@@ -1,14 +1,13 @@
-// How urgent a turn is to a model server that has more of them than slots.
+// Computes the urgency of a turn at a model server that queues turns.
 //
-// Load pattern: a burst of one and a half to three times what the servers
-// carry. Served in the order in which they come, all programs' turns wait a
-// little, and nearly all programs miss their time; a program is worth little
-// once it has. So turns of programs with the least time left go first: those
-// are the ones with most of their work behind them, or with little to lose. A
-// program past its time is not put back: it would starve while a burst lasts.
+// In a burst above capacity, first come, first served lets all turns wait
+// alike, and nearly all programs miss their deadline. Turns of programs with
+// the least time left therefore go first: most of their work is done, or their
+// deadline is short. A program past its deadline stays most urgent, or it would
+// starve while the burst lasts.
 //
-// Servers know ten levels, 0 first. A route's priority counts two of them, so a
-// program of the next route overtakes only where it has far less time left.
+// Servers have ten levels, 0 first. A route's priority adds two levels each, so
+// a program of a less urgent route goes first only with far less time left.
 #pragma once
 
 #include <optional>
@@ -17,16 +16,16 @@
 
 namespace yuccawick::traffic {
 
-// Less time than this, in ms, is the most urgent: one turn at a busy server,
-// after which nothing can be made up for. Each doubling is a level less urgent.
-inline constexpr net::Duration kHurry = 400;
-// Levels by time left, after the first.
-inline constexpr int           kHurryLevels = 3;
+// Less time left than this, in ms, is most urgent. Each doubling is one level
+// less urgent.
+inline constexpr net::Duration kMostUrgentTime = 400;
+// Levels by time left, above the first.
+inline constexpr int           kTimeLevels = 3;
 inline constexpr int           kLevelsPerPriority = 2;
 inline constexpr int           kLeastUrgent = 9;
 
-// `left`: until the program should be finished, in ms; nothing: it does not
-// say, and counts as having all the time.
+// `left`: ms until the deadline of the program; nullopt, if it has none, counts
+// as the longest time.
 int ComputeUrgency(int priority, std::optional<net::Duration> left);
 
 }  // namespace yuccawick::traffic
--- a/tests/affinity_test.cc
+++ b/tests/affinity_test.cc
@@ -1,4 +1,4 @@
-// Where prompts are likely cached, and what that is worth against load.
+// Preferred servers for cached prompts, and their weight against load.
 #include "yuccawick/traffic/affinity.h"
 
 #include <criterion/criterion.h>
@@ -16,7 +16,7 @@
 using traffic::Candidate;
 using traffic::PreferredServer;
 
-constexpr int          kServers = 15;         // of a zone
+constexpr int          kServers = 15;         // per zone
 constexpr std::int64_t kLongPrompt = 15'000;  // tokens
 constexpr std::int64_t kShortPrompt = 1500;
 
@@ -49,42 +49,41 @@
   return "program" + std::to_string(number);
 }
 
-// A node that places turns: by its own loads, and by where it placed the line
-// last or where all nodes of the zone would look.
+// A node that places turns by its own loads and by the server of the session:
+// the one it used last, or the preferred server of the zone.
 struct PlacingNode {
-  std::map<std::string, std::string> lines;  // program: server
+  std::map<std::string, std::string> servers_by_program;  // server by program
   std::map<std::string, int>         loads;
 
   std::string Place(const std::string&                program,
                     const std::vector<BackendServer>& servers,
                     std::mt19937_64*                  random) {
     auto              candidates = CandidatesOf(servers);
-    const std::string warm =
-        lines.contains(program)
-            ? lines[program]
+    const std::string preferred =
+        servers_by_program.contains(program)
+            ? servers_by_program[program]
             : PreferredServer(program, candidates, AffinityScope::kZone);
     for (Candidate& candidate : candidates) {
       candidate.local_load = loads[candidate.server->id];
-      candidate.holds_prefix = candidate.server->id == warm;
+      candidate.holds_prefix = candidate.server->id == preferred;
     }
     const double draw = std::uniform_real_distribution<double>()(*random);
     const auto   placement =
         MakePlacement(traffic::PlacementKind::kZoneAndPrefix, {});
     const auto& chosen = candidates[placement->Choose(candidates, draw)];
     ++loads[chosen.server->id];
-    return lines[program] = chosen.server->id;
+    return servers_by_program[program] = chosen.server->id;
   }
 };
 
-Test(Affinity, TurnsOfAProgramComeInAtManyNodes_MostFindTheirPromptCached) {
-  // Clients open connections anew, so the five turns of each program come in at
-  // any of ten nodes. Each node knows only what it placed itself. A turn whose
-  // server is not the last one of its program has its whole prompt read again.
+Test(Affinity, TurnsOfAProgramArriveAtManyNodes_MostFindTheirPromptCached) {
+  // Guards against recomputing prompts when the turns of a program arrive at
+  // different nodes, of which each knows only its own placements.
   const auto                         servers = MakeServers("a");
   std::vector<PlacingNode>           nodes(10);
   std::mt19937_64                    random(1);
   std::map<std::string, std::string> last;
-  int                                read_again = 0;
+  int                                recomputed = 0;
   constexpr int                      kPrograms = 200;
   constexpr int                      kTurns = 5;
   for (int turn = 0; turn < kTurns; ++turn) {
@@ -92,16 +91,16 @@
       const std::string program = ProgramName(i);
       const std::string server =
           nodes[random() % nodes.size()].Place(program, servers, &random);
-      if (turn > 0 && last[program] != server) ++read_again;
+      if (turn > 0 && last[program] != server) ++recomputed;
       last[program] = server;
     }
-    for (PlacingNode& node : nodes) node.loads.clear();  // they ended
+    for (PlacingNode& node : nodes) node.loads.clear();  // all turns end
   }
-  cr_expect_leq(read_again, kPrograms * (kTurns - 1) / 10, "%d of %d",
-                read_again, kPrograms * (kTurns - 1));
+  cr_expect_leq(recomputed, kPrograms * (kTurns - 1) / 10, "%d of %d",
+                recomputed, kPrograms * (kTurns - 1));
 }
 
-Test(Affinity, ServerLeaves_OnlyItsProgramsMove) {
+Test(Affinity, ServerRemoved_OnlyItsProgramsMove) {
   const auto servers = MakeServers("a");
   auto       candidates = CandidatesOf(servers);
   auto       fewer = candidates;
@@ -118,46 +117,45 @@
 Test(Affinity, ManyPrograms_AreSpreadOverTheServers) {
   const auto                 servers = MakeServers("a");
   const auto                 candidates = CandidatesOf(servers);
-  std::map<std::string, int> homes;
+  std::map<std::string, int> counts;
   for (int i = 0; i < 100 * kServers; ++i) {
-    ++homes[PreferredServer(ProgramName(i), candidates, AffinityScope::kZone)];
+    ++counts[PreferredServer(ProgramName(i), candidates, AffinityScope::kZone)];
   }
-  for (const auto& [server, count] : homes) {
+  for (const auto& [server, count] : counts) {
     cr_expect(count > 60 && count < 150, "%s: %d", server.c_str(), count);
   }
 }
 
-Test(Affinity, NoServerInTheZone_NobodyIsPreferred) {
+Test(Affinity, NoServerInTheZone_NoneIsPreferred) {
   const auto servers = MakeServers("b");
   cr_expect(PreferredServer("p", CandidatesOf(servers), AffinityScope::kZone)
                 .empty());
 }
 
-// Whether a turn stays at the server that holds its prompt, which is fuller
-// than the others by so many requests.
-bool Stays(std::int64_t tokens, int fuller) {
+// Whether a turn stays at the server that holds its prompt, if that server has
+// `extra_load` more requests than the others.
+bool Stays(std::int64_t tokens, int extra_load) {
   const auto servers = MakeServers("a");
   auto       candidates = CandidatesOf(servers, tokens);
   candidates.front().holds_prefix = true;
-  candidates.front().local_load = fuller;
+  candidates.front().local_load = extra_load;
   const auto placement =
       MakePlacement(traffic::PlacementKind::kZoneAndPrefix, {});
   return placement->Choose(candidates, 0.5) == 0;
 }
 
-Test(Affinity, ServerThatHoldsThePromptIsFuller_LongPromptsStayLonger) {
-  // A short prompt is read again in a few steps; a long one holds up all
-  // requests that run beside it.
+Test(Affinity, ServerWithPromptHasMoreLoad_LongPromptsStayLonger) {
+  // A short prompt is recomputed in a few steps; a long one delays all requests
+  // that run beside it.
   cr_expect(Stays(kShortPrompt, 2));
   cr_expect_not(Stays(kShortPrompt, 3));
   cr_expect(Stays(kLongPrompt, 14));
   cr_expect_not(Stays(kLongPrompt, 15));
 }
 
-Test(Affinity, LineChangesZones_LongPromptsHaveOneHomeOfAllZones) {
-  // A quarter of all lines come in through another zone from turn to turn. A
-  // long prompt is then read again by each zone's home; a short one costs less
-  // than its bytes between zones.
+Test(Affinity, SessionChangesZones_LongPromptsHaveOnePreferredServer) {
+  // Guards against recomputing long prompts in each zone that a session comes
+  // through. Short prompts cost less than cross-zone traffic.
   const traffic::PlacementWeights weights;
   cr_expect(ChooseAffinityScope(kLongPrompt, 0, weights) ==
             AffinityScope::kAllZones);
@@ -176,7 +174,7 @@
   }
 }
 
-Test(Affinity, ServerThatHoldsAVeryLongPromptIsFull_AnotherReadsIt) {
+Test(Affinity, ServerWithVeryLongPromptIsFull_AnotherRecomputesIt) {
   constexpr std::int64_t kVeryLong = 120'000;
   cr_expect_not(Stays(kVeryLong, 17));
 }
--- a/tests/placement_test.cc
+++ b/tests/placement_test.cc
@@ -1,5 +1,5 @@
-// A turn goes where it ends soonest: unequal servers, stale pictures, zones
-// with more demand than servers, services of any size.
+// Placement by expected end time: unequal servers, stale reports, zones with
+// more demand than servers, services of any size.
 #include "yuccawick/traffic/placement.h"
 
 #include <criterion/criterion.h>
@@ -54,20 +54,21 @@
   return servers;
 }
 
-// Servers that work requests off, `slots` at a time, and nodes that place them.
-// A node knows what it sent there itself, and of the other nodes of its zone
-// what they had there when the step began: a quarter of a turn at pace 1. Of
-// other zones' nodes it knows nothing.
-class Replay {
+// Simulates servers that run `kSlots` requests at a time, and nodes that place
+// them. A node knows its own requests in the current step, and the load of the
+// other nodes of its zone at the beginning of the step, a quarter of a median
+// turn ago. It knows nothing about nodes of other zones.
+class Simulation {
  public:
-  Replay(const std::vector<int>& servers_of_zones, std::vector<double> paces)
+  Simulation(const std::vector<int>& servers_of_zones,
+             std::vector<double>     slowdowns)
       : m_servers(ServersOfZones(servers_of_zones)),
-        m_paces(std::move(paces)),
+        m_slowdowns(std::move(slowdowns)),
         m_load(kZones, std::vector<double>(m_servers.size())),
-        m_done(m_servers.size()) {}
+        m_completed(m_servers.size()) {}
 
-  // For so many turns at pace 1, in each of which `arrivals` requests come in
-  // each zone. `known(node, server)`: the pace.
+  // Runs for `turns` median turns, with `arrivals` requests per turn in each
+  // zone. `known(node, server)`: the slowdown that the node assumes.
   template <class Known>
   void Run(int turns, const std::vector<double>& arrivals, Known known) {
     std::vector<double> due(kZones);
@@ -79,23 +80,26 @@
         due[zone] += arrivals[zone] / kStepsInATurn;
         for (; due[zone] >= 1; due[zone] -= 1) Place(zone, known);
       }
-      for (std::size_t k = 0; k < m_servers.size(); ++k) WorkOff(k);
+      for (std::size_t k = 0; k < m_servers.size(); ++k) Advance(k);
     }
   }
   void Run(int turns, const std::vector<double>& arrivals) {
-    Run(turns, arrivals,
-        [this](std::size_t, std::size_t server) { return m_paces[server]; });
+    Run(turns, arrivals, [this](std::size_t, std::size_t server) {
+      return m_slowdowns[server];
+    });
+  }
+  void ResetCompleted() {
+    std::fill(m_completed.begin(), m_completed.end(), 0.0);
   }
-  void Forget() { std::fill(m_done.begin(), m_done.end(), 0.0); }
 
-  // Requests that servers have carried, from the first to before the last.
-  double Done(std::size_t first, std::size_t last) const {
+  // Requests completed by the servers in [first, last).
+  double Completed(std::size_t first, std::size_t last) const {
     const auto at = [this](std::size_t server) {
-      return m_done.begin() + static_cast<std::ptrdiff_t>(server);
+      return m_completed.begin() + static_cast<std::ptrdiff_t>(server);
     };
     return std::accumulate(at(first), at(last), 0.0);
   }
-  double Done(std::size_t server) const { return m_done[server]; }
+  double Completed(std::size_t server) const { return m_completed[server]; }
   double longest() const { return m_longest; }
 
  private:
@@ -128,37 +132,37 @@
     for (const auto& of_zone : m_load) sum += of_zone[server];
     return sum;
   }
-  void WorkOff(std::size_t server) {
+  void Advance(std::size_t server) {
     const double load = LoadAt(server);
     const double running = std::min<double>(load, kSlots);
-    const double worked = running / m_paces[server] / kStepsInATurn;
+    const double worked = running / m_slowdowns[server] / kStepsInATurn;
     const double share = load > 0 ? worked / load : 0;
     for (auto& of_zone : m_load) of_zone[server] *= std::max(0.0, 1.0 - share);
-    m_done[server] += worked;
+    m_completed[server] += worked;
   }
 
   std::vector<BackendServer>          m_servers;
-  std::vector<double>                 m_paces;
+  std::vector<double>                 m_slowdowns;
   std::vector<std::vector<int>>       m_own;    // of each node, in this step
   std::vector<std::vector<double>>    m_load;   // from each zone
-  std::vector<std::vector<double>>    m_stale;  // the same when the step began
-  std::vector<double>                 m_done;
+  std::vector<std::vector<double>>    m_stale;  // m_load when the step began
+  std::vector<double>                 m_completed;
   double                              m_longest = 0;
   std::mt19937_64                     m_random{1};
   std::unique_ptr<traffic::Placement> m_placement =
       MakePlacement(PlacementKind::kSoonestEnd, {});
 };
 
-std::vector<double> UnequalPaces(std::size_t servers) {
-  std::vector<double> paces(servers, 1.0);
-  for (std::size_t i = 2; i < servers; i += 3) paces[i] = 1.7 / 0.7;
-  return paces;
+std::vector<double> UnequalSlowdowns(std::size_t servers) {
+  std::vector<double> slowdowns(servers, 1.0);
+  for (std::size_t i = 2; i < servers; i += 3) slowdowns[i] = 1.7 / 0.7;
+  return slowdowns;
 }
 
-double CapacityOf(const std::vector<double>& paces) {
+double TotalCapacity(const std::vector<double>& slowdowns) {
   return std::accumulate(
-      paces.begin(), paces.end(), 0.0,
-      [](double sum, double pace) { return sum + kSlots / pace; });
+      slowdowns.begin(), slowdowns.end(), 0.0,
+      [](double sum, double slowdown) { return sum + kSlots / slowdown; });
 }
 
 const std::vector<int> kServersOfZones{15, 15, 15};
@@ -167,70 +171,72 @@
   return std::vector<double>(kZones, all / kZones);
 }
 
-Test(SoonestEnd, ServersDifferInSpeedAndAllAreNeeded_CarryInProportion) {
-  const auto   paces = UnequalPaces(45);
-  const double all = CapacityOf(paces);
-  Replay       replay(kServersOfZones, paces);
-  replay.Run(20, EvenDemand(all));
-  replay.Forget();
-  replay.Run(100, EvenDemand(all));
-  const double fair = replay.Done(0, 45) / all * kSlots;
-  for (std::size_t i = 0; i < paces.size(); ++i) {
-    const double carried = replay.Done(i) * paces[i] / fair;
+Test(SoonestEnd, ServersDifferInSpeedAndAllAreNeeded_ServeInProportion) {
+  const auto   slowdowns = UnequalSlowdowns(45);
+  const double all = TotalCapacity(slowdowns);
+  Simulation   simulation(kServersOfZones, slowdowns);
+  simulation.Run(20, EvenDemand(all));
+  simulation.ResetCompleted();
+  simulation.Run(100, EvenDemand(all));
+  const double fair = simulation.Completed(0, 45) / all * kSlots;
+  for (std::size_t i = 0; i < slowdowns.size(); ++i) {
+    const double carried = simulation.Completed(i) * slowdowns[i] / fair;
     cr_expect(carried > 0.9 && carried < 1.1, "%zu: %f", i, carried);
   }
 }
 
 Test(SoonestEnd, DemandIsNearCapacity_NoEngineMustTurnWorkAway) {
-  // Engines queue three times their slots.
-  const auto paces = UnequalPaces(45);
-  Replay     replay(kServersOfZones, paces);
-  replay.Run(100, EvenDemand(0.9 * CapacityOf(paces)));
-  cr_expect_lt(replay.longest(), 4 * kSlots, "%f", replay.longest());
+  // Engines queue up to three times their slots.
+  const auto slowdowns = UnequalSlowdowns(45);
+  Simulation simulation(kServersOfZones, slowdowns);
+  simulation.Run(100, EvenDemand(0.9 * TotalCapacity(slowdowns)));
+  cr_expect_lt(simulation.longest(), 4 * kSlots, "%f", simulation.longest());
 }
 
 Test(SoonestEnd, FastServersAreEnough_SlowOnesGetFewTurns) {
-  const auto paces = UnequalPaces(45);
-  Replay     replay(kServersOfZones, paces);
-  replay.Run(100, EvenDemand(0.4 * CapacityOf(paces)));
+  const auto slowdowns = UnequalSlowdowns(45);
+  Simulation simulation(kServersOfZones, slowdowns);
+  simulation.Run(100, EvenDemand(0.4 * TotalCapacity(slowdowns)));
   double slow = 0;
-  for (std::size_t i = 2; i < paces.size(); i += 3) slow += replay.Done(i);
-  cr_expect_lt(slow, 0.02 * replay.Done(0, 45), "%f", slow);
+  for (std::size_t i = 2; i < slowdowns.size(); i += 3)
+    slow += simulation.Completed(i);
+  cr_expect_lt(slow, 0.02 * simulation.Completed(0, 45), "%f", slow);
 }
 
-Test(SoonestEnd, ManyNodesSeeOneFastServer_DoNotFillIt) {
-  // It ended a slow spell, or is new: all nodes know at the same moment.
-  std::vector<double> paces(45, 2.0);
-  paces[0] = 1.0;
-  Replay replay({45, 0, 0}, paces);
-  replay.Run(50, {0.7 * CapacityOf(paces), 0.0, 0.0});
-  cr_expect_lt(replay.longest(), 4 * kSlots, "%f", replay.longest());
+Test(SoonestEnd, ManyNodesSeeOneFastServer_DoNotOverloadIt) {
+  // Guards against a stampede: a fast server becomes known to all nodes at
+  // once.
+  std::vector<double> slowdowns(45, 2.0);
+  slowdowns[0] = 1.0;
+  Simulation simulation({45, 0, 0}, slowdowns);
+  simulation.Run(50, {0.7 * TotalCapacity(slowdowns), 0.0, 0.0});
+  cr_expect_lt(simulation.longest(), 4 * kSlots, "%f", simulation.longest());
 }
 
-Test(SoonestEnd, NodesDisagreeAboutAServer_ItIsUsedAndNotFilled) {
-  // Half of the nodes still have the picture of a slow spell.
-  const std::vector<double> paces(45, 1.0);
-  Replay                    replay(kServersOfZones, paces);
-  replay.Run(100, EvenDemand(0.8 * CapacityOf(paces)),
-             [](std::size_t node, std::size_t server) {
-               return node % 2 == 0 && server == 0 ? 2.5 : 1.0;
-             });
-  cr_expect_gt(replay.Done(0), 0.4 * replay.Done(0, 45) / 45);
-  cr_expect_lt(replay.longest(), 4 * kSlots, "%f", replay.longest());
+Test(SoonestEnd, NodesDisagreeAboutAServer_ItIsUsedAndNotOverloaded) {
+  // Half of the nodes still have an outdated slowdown estimate.
+  const std::vector<double> slowdowns(45, 1.0);
+  Simulation                simulation(kServersOfZones, slowdowns);
+  simulation.Run(100, EvenDemand(0.8 * TotalCapacity(slowdowns)),
+                 [](std::size_t node, std::size_t server) {
+                   return node % 2 == 0 && server == 0 ? 2.5 : 1.0;
+                 });
+  cr_expect_gt(simulation.Completed(0), 0.4 * simulation.Completed(0, 45) / 45);
+  cr_expect_lt(simulation.longest(), 4 * kSlots, "%f", simulation.longest());
 }
 
-Test(SoonestEnd, ZoneHasMoreDemandThanServers_RestGoesToOthersInProportion) {
-  Replay replay({12, 8, 16}, std::vector<double>(36, 1.0));
-  replay.Run(100, {1.5 * 12 * kSlots, 0.0, 0.0});
-  const double here = replay.Done(0, 12) / 12;
-  const double one = replay.Done(12, 20) / 8;
-  const double other = replay.Done(20, 36) / 16;
+Test(SoonestEnd, ZoneDemandExceedsCapacity_RestIsSharedInProportion) {
+  Simulation simulation({12, 8, 16}, std::vector<double>(36, 1.0));
+  simulation.Run(100, {1.5 * 12 * kSlots, 0.0, 0.0});
+  const double here = simulation.Completed(0, 12) / 12;
+  const double one = simulation.Completed(12, 20) / 8;
+  const double other = simulation.Completed(20, 36) / 16;
   cr_expect_lt(std::abs(one / other - 1.0), 0.1, "%f, %f", one, other);
   cr_expect_gt(here, 1.2 * other);
-  cr_expect_lt(replay.longest(), 3 * kSlots, "%f", replay.longest());
+  cr_expect_lt(simulation.longest(), 3 * kSlots, "%f", simulation.longest());
 }
 
-Test(SoonestEnd, EqualServers_ArePlacedAsWithoutPace) {
+Test(SoonestEnd, EqualServers_ChoiceIsThatOfZoneAndPrefix) {
   const auto      servers = MakeServers(10, "a");
   const auto      with = MakePlacement(PlacementKind::kSoonestEnd, {});
   const auto      without = MakePlacement(PlacementKind::kZoneAndPrefix, {});
@@ -252,7 +258,7 @@
   }
 }
 
-Test(SoonestEnd, ServerThatHoldsThePromptIsSlow_AnotherReadsIt) {
+Test(SoonestEnd, ServerWithPromptIsSlow_AnotherRecomputesIt) {
   const auto             servers = MakeServers(2, "a");
   std::vector<Candidate> candidates(2);
   for (std::size_t i = 0; i < 2; ++i) candidates[i].server = &servers[i];
@@ -265,7 +271,7 @@
   cr_expect_eq(placement->Choose(candidates, 0.5), 1);
 }
 
-// A copy elsewhere evicts prompts of programs in their pauses.
+// Guards against second copies that evict the prompts of pausing programs.
 Test(SoonestEnd, MemoryOfServersIsShort_TurnStaysWithItsPrompt) {
   const auto             servers = MakeServers(2, "a");
   std::vector<Candidate> candidates(2);
@@ -288,7 +294,8 @@
   return pool;
 }
 
-std::string HomeOf(const ServerPool& pool, const std::string& program) {
+std::string PreferredServerOf(const ServerPool&  pool,
+                              const std::string& program) {
   std::vector<Candidate> candidates;
   for (const auto* server : pool.Around(program, AffinityScope::kZone, 64)) {
     Candidate candidate;
@@ -299,7 +306,7 @@
   return PreferredServer(program, candidates, AffinityScope::kZone);
 }
 
-Test(ServerPool, ThirtyServersOrThreeThousand_LooksAreBounded) {
+Test(ServerPool, PoolOfAnySize_QueriesAreBounded) {
   std::mt19937_64 random(1);
   for (const int count : {30, 3000}) {
     const auto        servers = MakeServers(count, "a");
@@ -314,7 +321,7 @@
   }
 }
 
-Test(ServerPool, ServerLeavesAServiceOfManyServers_FewOtherProgramsMove) {
+Test(ServerPool, ServerRemovedFromLargeService_FewOtherProgramsMove) {
   const auto                 servers = MakeServers(500, "a");
   std::vector<BackendServer> fewer(servers.begin() + 1, servers.end());
   const ServerPool           before = PoolOf(servers);
@@ -323,23 +330,25 @@
   constexpr int              kPrograms = 5000;
   for (int i = 0; i < kPrograms; ++i) {
     const std::string program = "program" + std::to_string(i);
-    const std::string home = HomeOf(before, program);
-    if (home != servers.front().id && home != HomeOf(after, program)) ++moved;
+    const std::string preferred = PreferredServerOf(before, program);
+    if (preferred != servers.front().id &&
+        preferred != PreferredServerOf(after, program))
+      ++moved;
   }
   cr_expect_lt(moved, kPrograms / 200, "%d", moved);
 }
 
-Test(ServerPool, ZoneWithoutServers_HasNoHomes) {
+Test(ServerPool, ZoneWithoutServers_NoneIsReturned) {
   const auto servers = MakeServers(3, "b");
   cr_expect(PoolOf(servers).Around("p", AffinityScope::kZone, 64).empty());
   cr_expect_eq(PoolOf(servers).Around("p", AffinityScope::kAllZones, 64).size(),
                3);
 }
 
-// One node's picture of a service, with a clock that is moved by hand.
-class Picture {
+// One node's view of a service, with a manual clock.
+class BackendsFixture {
  public:
-  explicit Picture(int servers) : m_servers(MakeServers(servers, "a")) {
+  explicit BackendsFixture(int servers) : m_servers(MakeServers(servers, "a")) {
     Publish();
   }
 
@@ -354,7 +363,9 @@
     m_backends.ObserveServiceTime(id, "", took);
   }
   double LoadOf(const std::string& id) { return m_backends.Find(id)->load; }
-  double PaceOf(const std::string& id) { return m_backends.Find(id)->slowdown; }
+  double SlowdownOf(const std::string& id) {
+    return m_backends.Find(id)->slowdown;
+  }
   gateway::Backends&          backends() { return m_backends; }
   std::vector<BackendServer>& servers() { return m_servers; }
 
@@ -369,54 +380,55 @@
       std::make_shared<pressure::MemoryBudget>(m_thresholds.memory, 0)};
 };
 
-// Thousands of servers register while the loop is busy: each list would wait.
-Test(Newest, ListsComeFasterThanTheyAreTaken_OnlyTheLastIsTaken) {
+// Guards against a backlog of server lists when thousands of servers register
+// while the loop is busy.
+Test(Newest, ListsArriveFasterThanHandled_OnlyTheLastIsHandled) {
   Time             now = 1000;
   net::EventLoop   loop([&now] { return now; });
-  std::vector<int> taken;
-  net::Newest<int> newest(&loop, [&](int value) { taken.push_back(value); });
+  std::vector<int> handled;
+  net::Newest<int> newest(&loop, [&](int value) { handled.push_back(value); });
   for (int i = 0; i < 3000; ++i) newest.Put(i);
   loop.RunOnce(0);
   newest.Put(7);
   loop.RunOnce(0);
-  cr_expect(taken == std::vector<int>({2999, 7}));
+  cr_expect(handled == std::vector<int>({2999, 7}));
 }
 
-Test(Backends, NeighboursTellAndFallSilent_SumHoldsWhatTheySaidLast) {
-  Picture                          picture(2);
+Test(Backends, PeersStopReporting_LastReportsCountUntilTheyExpire) {
+  BackendsFixture                  fixture(2);
   gateway::Backends::ServerReports some;
   some["a0"].requests = 6;
   gateway::Backends::ServerReports more = some;
   more["a0"].requests = 12;
-  picture.backends().SetPeerReport("x", more);
-  picture.backends().SetPeerReport("x", some);
-  picture.backends().SetPeerReport("y", more);
-  cr_expect_float_eq(picture.LoadOf("a0"), 3.0, 1e-9);
-  picture.Wait(500);
-  picture.backends().SetPeerReport("y", some);
-  picture.Wait(500);
-  picture.backends().Sweep();
-  cr_expect_float_eq(picture.LoadOf("a0"), 1.0, 1e-9);
-  picture.Wait(1000);
-  picture.backends().Sweep();
-  cr_expect_float_eq(picture.LoadOf("a0"), 0.0, 1e-9);
+  fixture.backends().SetPeerReport("x", more);
+  fixture.backends().SetPeerReport("x", some);
+  fixture.backends().SetPeerReport("y", more);
+  cr_expect_float_eq(fixture.LoadOf("a0"), 3.0, 1e-9);
+  fixture.Wait(500);
+  fixture.backends().SetPeerReport("y", some);
+  fixture.Wait(500);
+  fixture.backends().Sweep();
+  cr_expect_float_eq(fixture.LoadOf("a0"), 1.0, 1e-9);
+  fixture.Wait(1000);
+  fixture.backends().Sweep();
+  cr_expect_float_eq(fixture.LoadOf("a0"), 0.0, 1e-9);
 }
 
-Test(Backends, ServerStartsAgainUnderItsEntry_ItsPaceBeginsAnew) {
-  Picture picture(3);
+Test(Backends, ServerRestartsUnderItsEntry_SlowdownIsReset) {
+  BackendsFixture fixture(3);
   for (int i = 0; i < 100; ++i) {
-    for (const auto& server : picture.servers()) {
-      picture.Observe(server.id, server.id == "a2" ? 120 : 40);
+    for (const auto& server : fixture.servers()) {
+      fixture.Observe(server.id, server.id == "a2" ? 120 : 40);
     }
-    picture.Wait(20);
+    fixture.Wait(20);
   }
-  picture.backends().Sweep();
-  cr_expect_gt(picture.PaceOf("a2"), 2.5);
-  cr_expect_eq(picture.backends().slow_servers(), 1);
-  picture.servers()[2].id = "a2, started again";
-  picture.Publish();
-  cr_expect_float_eq(picture.PaceOf("a2, started again"), 1.0, 1e-9);
-  cr_expect_eq(picture.backends().slow_servers(), 0);
+  fixture.backends().Sweep();
+  cr_expect_gt(fixture.SlowdownOf("a2"), 2.5);
+  cr_expect_eq(fixture.backends().slow_servers(), 1);
+  fixture.servers()[2].id = "a2, started again";
+  fixture.Publish();
+  cr_expect_float_eq(fixture.SlowdownOf("a2, started again"), 1.0, 1e-9);
+  cr_expect_eq(fixture.backends().slow_servers(), 0);
 }
 
 }  // namespace
--- a/tests/urgency_test.cc
+++ b/tests/urgency_test.cc
@@ -1,4 +1,4 @@
-// Which turns a full server takes first, and what that is worth to programs.
+// Urgency of turns at full servers, and its benefit for programs.
 #include "yuccawick/traffic/urgency.h"
 
 #include <criterion/criterion.h>
@@ -30,8 +30,8 @@
   cr_assert_leq(ComputeUrgency(1000, std::nullopt), traffic::kLeastUrgent);
 }
 
-// Programs of some turns each, before servers that take the most urgent of the
-// waiting turns whenever a slot is free. Times in ms.
+// Simulates programs of several turns at servers that run the most urgent
+// waiting turn whenever a slot is free. Times in ms.
 class Burst {
  public:
   using Policy = std::function<int(Duration left)>;
@@ -39,21 +39,22 @@
   Burst(unsigned seed, Policy policy)
       : m_random(seed), m_policy(std::move(policy)) {}
 
-  // The share of the programs of the burst that end in time.
-  double Play() {
-    for (double at = 0; at < kLength; at += Gap(at)) {
+  // Returns the share of programs that end in time.
+  double Run() {
+    for (double at = 0; at < kLength; at += DrawGap(at)) {
       const int      turns = 2 + static_cast<int>(m_random() % 5);
       const Duration idle = turns * kTurn + (turns - 1) * kPause;
       const auto     begin = static_cast<Time>(at);
       m_programs.push_back({turns, begin + idle * 13 / 10 + kSlack});
-      m_events[begin].push_back([this, i = m_programs.size() - 1] { Ask(i); });
+      m_events[begin].push_back(
+          [this, i = m_programs.size() - 1] { SubmitTurn(i); });
     }
     while (!m_events.empty()) {
       m_now = m_events.begin()->first;
       const auto due = std::move(m_events.begin()->second);
       m_events.erase(m_events.begin());
       for (const auto& event : due) event();
-      Start();
+      StartTurns();
     }
     return static_cast<double>(m_in_time) /
            static_cast<double>(m_programs.size());
@@ -79,31 +80,31 @@
   static constexpr Duration kSlack = 250;
   static constexpr double   kLength = 12'000;
 
-  // Three quarters of what the slots carry, half as much again above it for
-  // four seconds.
-  double Gap(double at) {
+  // Mean gap between programs: load 0.75, and 1.5 for four seconds.
+  double DrawGap(double at) {
     constexpr double kMeanTurns = 4;
     constexpr double kFull = kTurn * kMeanTurns / kSlots;
     const double     load = at > 3000 && at < 7000 ? 1.5 : 0.75;
     return std::exponential_distribution<double>(load / kFull)(m_random);
   }
-  void Ask(std::size_t program) {
+  void SubmitTurn(std::size_t program) {
     const Duration left = m_programs[program].due - m_now;
     m_waiting.push({m_policy(left), m_now, program});
   }
-  void Start() {
+  void StartTurns() {
     while (m_busy < kSlots && !m_waiting.empty()) {
       const std::size_t program = m_waiting.top().program;
       m_waiting.pop();
       ++m_busy;
-      m_events[m_now + kTurn].push_back([this, program] { End(program); });
+      m_events[m_now + kTurn].push_back([this, program] { EndTurn(program); });
     }
   }
-  void End(std::size_t program) {
+  void EndTurn(std::size_t program) {
     --m_busy;
     Program& ended = m_programs[program];
     if (--ended.turns > 0) {
-      m_events[m_now + kPause].push_back([this, program] { Ask(program); });
+      m_events[m_now + kPause].push_back(
+          [this, program] { SubmitTurn(program); });
     } else if (m_now <= ended.due) {
       ++m_in_time;
     }
@@ -119,18 +120,16 @@
   std::map<Time, std::vector<std::function<void()>>> m_events;
 };
 
-Test(Urgency, BurstAboveWhatTheServersCarry_MoreProgramsEndInTime) {
-  // For four seconds twice the usual programs begin, half as many again as the
-  // slots carry. In the order of their coming nearly all turns wait, and nearly
-  // all programs of the burst are late. Served by the time that they have left,
-  // more of them end in time, with each seed.
+Test(Urgency, BurstAboveCapacity_MoreProgramsEndInTime) {
+  // Guards against urgency levels without benefit: with each seed, more
+  // programs end in time than with first come, first served.
   for (unsigned seed = 1; seed <= 8; ++seed) {
-    const double flat = Burst(seed, [](Duration) { return 0; }).Play();
+    const double first_come = Burst(seed, [](Duration) { return 0; }).Run();
     const double urgent = Burst(seed, [](Duration left) {
                             return ComputeUrgency(0, left);
-                          }).Play();
-    cr_expect_gt(urgent, flat + 0.05, "seed %u: %.3f against %.3f", seed,
-                 urgent, flat);
+                          }).Run();
+    cr_expect_gt(urgent, first_come + 0.05, "seed %u: %.3f against %.3f", seed,
+                 urgent, first_come);
   }
 }
 
