--- a/src/yuccawick/traffic/concurrency_limit.cc
+++ b/src/yuccawick/traffic/concurrency_limit.cc
@@ -16,10 +16,10 @@
 constexpr double      kMaxStepFactor = 1.1;
 constexpr double      kStepIncrement = 0.5;  // turns added at each change
 constexpr double      kMinShare = 0.01;      // avoids division by zero
-constexpr double      kLiftRatio = 3.0;      // limit / (running turns + 1)
+constexpr double      kLiftRatio = 3.0;      // of limit to running turns + 1
 // Shift of the rank for each priority level, as a share of the range of ranks.
 constexpr double      kPriorityStep = 0.25;
-constexpr double      kLateRank = 10.0;  // exceeds any rank without it
+constexpr double      kLateRank = 10.0;  // added for late programs
 
 }  // namespace
 
--- a/src/yuccawick/traffic/placement.h
+++ b/src/yuccawick/traffic/placement.h
@@ -28,11 +28,11 @@
   bool                 holds_prefix = false;  // probably has the prompt cached
   int                  recent_failures = 0;   // since the last success
   double               failure_share = 0;     // of recent answers, 0 to 1
-  std::int64_t prompt_tokens = 0;  // of the request, if not cached there
+  std::int64_t         prompt_tokens = 0;     // to compute if not cached there
   // Memory of the prompt, relative to the server's memory per slot; 0 if
   // unknown.
-  double       memory_part = 0;
-  double       slowdown = 1;  // relative to the median
+  double               memory_part = 0;
+  double               slowdown = 1;  // relative to the median
 
   int load() const { return local_load + peer_load; }
 };
--- a/src/yuccawick/traffic/urgency.h
+++ b/src/yuccawick/traffic/urgency.h
@@ -3,7 +3,7 @@
 // In a burst above capacity, first come, first served lets all turns wait
 // alike, and nearly all programs miss their deadline. Turns of programs with
 // the least time left therefore go first: most of their work is done, or their
-// deadline is short. A program past its deadline stays most urgent, or it would
+// deadline is tight. A program past its deadline stays most urgent, or it would
 // starve while the burst lasts.
 //
 // Servers have ten levels, 0 first. A route's priority adds two levels each, so
--- a/tests/admission_test.cc
+++ b/tests/admission_test.cc
@@ -280,7 +280,8 @@
  public:
   explicit TestController(Time started = -10'000)
       : controller(&settings, &policy, started) {
-    settings.slot_overcommit = 0.6;  // divided by the initial time share
+    // Equal to the initial time share, so that one turn per slot is admitted.
+    settings.slot_overcommit = 0.6;
   }
 
   bool Admit(const AdmissionRequest& request, Time now) {
