--- a/src/yuccawick/admission/retry_list.h
+++ b/src/yuccawick/admission/retry_list.h
@@ -26,12 +26,12 @@
     std::optional<Duration> initial_time_left;  // ms left at the first refusal
     bool                    late = false;
     int                     refusals = 0;
-    Time                    earliest = 0;  // retry window
-    Time                    latest = 0;
+    Time                    earliest = 0;  // start of the retry window
+    Time                    latest = 0;    // its end
   };
 
   const Entry* Find(const std::string& program) const;
-  // first retry expected
+  // Records a refusal with the given retry delay, in ms.
   void        Put(const std::string& program, std::optional<Duration> time_left,
                   bool late, Duration retry_delay, Time now);
   void        Remove(const std::string& program);
--- a/src/yuccawick/fairness/fair_share_policy.h
+++ b/src/yuccawick/fairness/fair_share_policy.h
@@ -41,8 +41,8 @@
   // taken whenever few turns happen to run.
   double       step = 0.15;
   double       max_usage_margin = 0.2;
-  // Lower bound of the others' average, in turns of average work: a workspace has
-  // no margin before it has used more than about one program does.
+  // Lower bound of the others' average, in turns of average work: a workspace
+  // has no margin before it has used more than about one program does.
   double       credit_turns = 10;
   double       urgency = 0.025;  // for each level behind the most urgent one
   double       late = 0.05;
--- a/src/yuccawick/traffic/concurrency_limit.h
+++ b/src/yuccawick/traffic/concurrency_limit.h
@@ -7,10 +7,10 @@
 // deadline. Turns therefore wait here, where the order can still be chosen.
 //
 // ConcurrencyLimit adapts the number of running turns to the observed time to
-// first event, compared with the objective set by the operator: above the
-// objective the limit shrinks, below it the limit grows. Nodes need not
-// exchange anything, because all of them observe the same slow servers. While
-// first events are in time, there is no limit.
+// first event. The limit engages when first events take too long for the
+// objective set by the operator, and then shrinks or grows to hold them well
+// within it. Nodes need not exchange anything, because all of them observe the
+// same slow servers. While first events are in time, there is no limit.
 //
 // QueueRank() orders the waiting turns. The rank is a hash of the program id,
 // the same on every node and for all turns of a program, so that capacity goes
@@ -33,9 +33,9 @@
 // Times in ms.
 struct ConcurrencyLimitSettings {
   // Ratios of time to first event to its objective: the limit engages above
-  // `engage` and then steers towards `target`. 0 turns it off. The limit helps
-  // in bursts far above capacity and costs throughput where programs have time
-  // to share a shorter wait, so the operator decides.
+  // `engage` and then steers towards `target`. An `engage` of 0 turns it off.
+  // The limit helps in bursts far above capacity, but does harm where programs
+  // have time to share a shorter wait, so the operator decides.
   double   engage = 0;
   double   target = 0.6;
   // Between two changes of the limit; a change takes about as long to show.
