--- a/src/yuccawick/gateway/gateway.cc
+++ b/src/yuccawick/gateway/gateway.cc
@@ -202,7 +202,7 @@
 
 bool Gateway::OthersServeBetter() const {
   const bool fresh = m_routes == nullptr || !m_routes->manifest()->workspaces ||
-                     !m_key_lease.IsOld(m_loop->now());
+                     !m_key_lease.IsExpiring(m_loop->now());
   return m_peers.IsIsolated() || (!fresh && m_peers.OthersReachLog());
 }
 
--- a/src/yuccawick/gateway/rate_coordinator.cc
+++ b/src/yuccawick/gateway/rate_coordinator.cc
@@ -253,7 +253,7 @@
         if (record) before->push_back({raw.offset, std::move(*record)});
       },
       [this, before, end, count, from] {
-        const auto ages = workspaces::LeastAges(*before);
+        const auto ages = workspaces::MinAges(*before);
         const bool whole = from == 0 || ages.empty() ||
                            before->front().offset > from ||
                            ages.front() >= m_home.ledger().Span();
--- a/src/yuccawick/gateway/token_coordinator.cc
+++ b/src/yuccawick/gateway/token_coordinator.cc
@@ -361,9 +361,9 @@
                   m_reading = false;
                   const Duration took = m_loop->now() - began;
                   if (result) {
-                    m_pace.Answered(took);
+                    m_pace.OnReply(took);
                   } else if (took >= m_thresholds->log_timeout) {
-                    m_pace.Late();
+                    m_pace.OnTimeout();
                   }
                   const bool gone = !result && result.error().failure ==
                                                    StoreFailure::kExpired;
--- a/src/yuccawick/gateway/turn_reader.cc
+++ b/src/yuccawick/gateway/turn_reader.cc
@@ -100,9 +100,9 @@
         const Duration took = m_loop->now() - began;
         const bool     in_time = took < m_thresholds->log_timeout;
         if (result) {
-          m_pace.Answered(took);
+          m_pace.OnReply(took);
         } else if (!in_time) {
-          m_pace.Late();
+          m_pace.OnTimeout();
         }
         // A kept connection that was dropped ends a read at once, and says
         // nothing of the log. One that timed out is not repeated: after a
@@ -132,7 +132,7 @@
     End(partition, false);
     return;
   }
-  if (scan.plan.Deleted(first)) {
+  if (scan.plan.OnRecordsDeleted(first)) {
     scan.sure_from = m_loop->now() + m_retention + kRetentionSlack;
   }
   ReadPart(partition);
@@ -152,8 +152,8 @@
     End(partition, false);
     return;
   }
-  scan.plan.Took(page.next, page.end,
-                 static_cast<std::int64_t>(page.records.size()));
+  scan.plan.OnPageRead(page.next, page.end,
+                       static_cast<std::int64_t>(page.records.size()));
   if (scan.plan.complete()) {
     End(partition, true);
   } else {
--- a/src/yuccawick/programs/adaptive_read_size.h
+++ b/src/yuccawick/programs/adaptive_read_size.h
@@ -29,15 +29,15 @@
   explicit AdaptiveReadSize(std::size_t most) : m_most(most), m_bytes(most) {}
 
   std::size_t bytes() const { return m_bytes; }
-  void        Answered(net::Duration took) {
+  void        OnReply(net::Duration took) {
            if (took > 2 * kQuickRead) {
-             Late();
+             OnTimeout();
     } else if (took < kQuickRead) {
              m_bytes = std::min(2 * m_bytes, m_most);
     }
   }
   // No answer in time.
-  void Late() { m_bytes = std::max(m_bytes / 2, kLeastRead); }
+  void OnTimeout() { m_bytes = std::max(m_bytes / 2, kLeastRead); }
 
  private:
   std::size_t m_most;
--- a/src/yuccawick/programs/scan_plan.cc
+++ b/src/yuccawick/programs/scan_plan.cc
@@ -15,7 +15,7 @@
   m_in_gap = false;
 }
 
-void ScanPlan::Took(Offset next, Offset end, Offset records) {
+void ScanPlan::OnPageRead(Offset next, Offset end, Offset records) {
   m_end = std::max(m_end, end);
   // A look that found the last few records says nothing of a page's size; taken
   // for it, a gap would be read a page for each record.
@@ -58,7 +58,7 @@
   m_in_gap = false;
 }
 
-bool ScanPlan::Deleted(Offset first) {
+bool ScanPlan::OnRecordsDeleted(Offset first) {
   const bool unread = m_next < first || (HasGap() && m_gap_from < first);
   m_next = std::max(m_next, first);
   m_gap_from = std::max(m_gap_from, first);
--- a/src/yuccawick/programs/scan_plan.h
+++ b/src/yuccawick/programs/scan_plan.h
@@ -14,7 +14,7 @@
 //   plan.Begin();                      // a search starts
 //   while (!plan.complete()) {
 //     page = read from plan.from();
-//     plan.Took(page.next, page.end, page.records.size());
+//     plan.OnPageRead(page.next, page.end, page.records.size());
 //   }
 //
 // A read that failed changes nothing: the next search goes on from there.
@@ -33,9 +33,9 @@
   Offset from() const { return m_in_gap ? m_piece_next : m_next; }
   // What was read from from(): the offset to go on at, the end of the
   // partition, the number of records.
-  void   Took(Offset next, Offset end, Offset records);
+  void   OnPageRead(Offset next, Offset end, Offset records);
   // Records before `first` are deleted. True if some of them were not read.
-  bool   Deleted(Offset first);
+  bool   OnRecordsDeleted(Offset first);
   // Everything was read up to an end that was seen since Begin().
   bool   complete() const { return m_complete; }
   // Whether the next read is one at the end of the partition.
--- a/src/yuccawick/workspaces/key_lease.h
+++ b/src/yuccawick/workspaces/key_lease.h
@@ -35,7 +35,7 @@
   }
   // So old that it would run out soon: clients are better sent elsewhere.
   // Always renewed well before that while the log answers.
-  bool IsOld(Time now) const {
+  bool IsExpiring(Time now) const {
     return m_bound &&
            (!m_as_of || static_cast<double>(now - *m_as_of) >
                             kOldShare * static_cast<double>(*m_bound));
--- a/src/yuccawick/workspaces/rate_ledger.cc
+++ b/src/yuccawick/workspaces/rate_ledger.cc
@@ -19,7 +19,7 @@
   return limited + kToleranceShare * (window.overage * limited + window.slack);
 }
 
-std::vector<Duration> LeastAges(const std::vector<LoggedRate>& claims) {
+std::vector<Duration> MinAges(const std::vector<LoggedRate>& claims) {
   // When each claim was acknowledged, as its claimer's next one tells.
   std::unordered_map<std::int64_t, Time> acked;
   for (const LoggedRate& claim : claims) {
@@ -74,7 +74,7 @@
 
 void RateLedger::Begin(const std::vector<LoggedRate>& before, Time now) {
   m_claims.clear();
-  const auto ages = LeastAges(before);
+  const auto ages = MinAges(before);
   for (std::size_t i = 0; i < before.size(); ++i) {
     if (ages[i] < Span()) Count(before[i], now - ages[i] + Span());
   }
--- a/src/yuccawick/workspaces/rate_ledger.h
+++ b/src/yuccawick/workspaces/rate_ledger.h
@@ -86,7 +86,7 @@
 
 // For each of these claims, in the log's order, the least time in ms that has
 // passed between it and the last one.
-std::vector<Duration> LeastAges(const std::vector<LoggedRate>& claims);
+std::vector<Duration> MinAges(const std::vector<LoggedRate>& claims);
 
 class RateLedger {
  public:
--- a/tests/programs_test.cc
+++ b/tests/programs_test.cc
@@ -290,7 +290,7 @@
     const auto next = std::min(from + page, end);
     for (auto i = from; i < next; ++i) seen->insert(i);
     reads.push_back(from);
-    plan->Took(next, end, next - from);
+    plan->OnPageRead(next, end, next - from);
   }
   return reads;
 }
@@ -358,8 +358,8 @@
       const auto from = plan.from();
       const auto next = std::min(from + 1 + draw % 4, end);
       for (auto i = from; i < next; ++i) seen.insert(i);
-      plan.Took(std::max(from, next), end,
-                std::max<programs::Offset>(0, next - from));
+      plan.OnPageRead(std::max(from, next), end,
+                      std::max<programs::Offset>(0, next - from));
       if (plan.complete())
         RC_ASSERT(seen.size() == static_cast<std::size_t>(end));
     }
@@ -371,12 +371,12 @@
   programs::ScanPlan         plan;
   std::set<programs::Offset> seen;
   plan.Begin();
-  plan.Took(10, 400, 10);
-  cr_assert(plan.Deleted(200));
+  plan.OnPageRead(10, 400, 10);
+  cr_assert(plan.OnRecordsDeleted(200));
   ReadAll(&plan, 400, 10, &seen);
   cr_assert_eq(seen.size(), 200);
   plan.Begin();
-  cr_assert_not(plan.Deleted(300));
+  cr_assert_not(plan.OnRecordsDeleted(300));
 }
 
 }  // namespace
--- a/tests/rate_limit_test.cc
+++ b/tests/rate_limit_test.cc
@@ -381,7 +381,7 @@
   for (std::int64_t i = 0; i < 600; ++i) {
     claims.push_back({i, Record("a", i - 1, 20 * i, 20 * (i - 1) + 6, 1)});
   }
-  const auto ages = workspaces::LeastAges(claims);
+  const auto ages = workspaces::MinAges(claims);
   for (std::size_t i = 0; i < claims.size(); ++i) {
     const Duration passed = 20 * static_cast<Duration>(claims.size() - 1 - i);
     cr_assert_leq(ages[i], passed);
@@ -429,7 +429,7 @@
       appended.push_back(now);
       last[home] = {offset, acked + skew};
     }
-    const auto ages = workspaces::LeastAges(claims);
+    const auto ages = workspaces::MinAges(claims);
     for (std::size_t i = 0; i < claims.size(); ++i) {
       cr_assert_leq(ages[i], appended.back() - appended[i]);
     }
