--- a/src/yuccawick/programs/adaptive_read_size.h
+++ b/src/yuccawick/programs/adaptive_read_size.h
@@ -1,14 +1,11 @@
-// How much of the log to ask for at once, by how soon the last reads came.
+// Chooses how many bytes to request in the next read of the log, from the
+// latency of earlier reads. Used by the readers of turns and claims.
 //
-// Load pattern: more nodes read more of the log than it carries: after a start
-// of all, at the end of an outage, or because of a fault of ours. A read that
-// nobody waits for any more is answered all the same, and asked again; so reads
-// that are too large keep the log at its limit for good, and what everybody
-// needs, the manifest and the list of servers, reaches nobody.
-//
-// A late read therefore halves what the next one asks for, a quick one doubles
-// it. Forty readers of a page of 16 KB each 600 ms are 1 MB/s, which any log
-// bears beside the rest.
+// When many nodes read at once (after a full restart or an outage), reads that
+// time out are still served by the log and then repeated, so large reads could
+// overload it permanently and keep manifests and server lists from arriving. A
+// slow read therefore halves the next size and a fast one doubles it, between
+// kMinReadBytes and the given maximum.
 #pragma once
 
 #include <algorithm>
@@ -18,29 +15,28 @@
 
 namespace yuccawick::programs {
 
-inline constexpr std::size_t   kLeastRead = 16UL * 1024;  // a few turns
-// Sooner than this, in ms, is quick; later than twice this is late: an idle log
-// takes 6 for a call and 3 for the bytes of a page, a VM's link of 30
-// Mbit/s 70.
-inline constexpr net::Duration kQuickRead = 150;
+inline constexpr std::size_t   kMinReadBytes = 16UL * 1024;  // a few turns
+// Latency in ms below which a read is fast; above twice this value it is slow.
+inline constexpr net::Duration kFastReadTime = 150;
 
 class AdaptiveReadSize {
  public:
-  explicit AdaptiveReadSize(std::size_t most) : m_most(most), m_bytes(most) {}
+  explicit AdaptiveReadSize(std::size_t max_bytes)
+      : m_max_bytes(max_bytes), m_bytes(max_bytes) {}
 
   std::size_t bytes() const { return m_bytes; }
   void        OnReply(net::Duration took) {
-           if (took > 2 * kQuickRead) {
+           if (took > 2 * kFastReadTime) {
              OnTimeout();
-    } else if (took < kQuickRead) {
-             m_bytes = std::min(2 * m_bytes, m_most);
+    } else if (took < kFastReadTime) {
+             m_bytes = std::min(2 * m_bytes, m_max_bytes);
     }
   }
-  // No answer in time.
-  void OnTimeout() { m_bytes = std::max(m_bytes / 2, kLeastRead); }
+  // The read got no reply in time.
+  void OnTimeout() { m_bytes = std::max(m_bytes / 2, kMinReadBytes); }
 
  private:
-  std::size_t m_most;
+  std::size_t m_max_bytes;
   std::size_t m_bytes;
 };
 
--- a/src/yuccawick/programs/membership.cc
+++ b/src/yuccawick/programs/membership.cc
@@ -9,15 +9,15 @@
 namespace yuccawick::programs {
 namespace {
 
-// Weighted rendezvous hashing: a uniform draw u for each key and node, and the
-// node with the highest capacity / -ln(u).
+// Weighted rendezvous hashing: draws a uniform u from the key and the node's
+// name; the node with the highest millicores / -ln(u) ranks first.
 double Weight(std::string_view key, const NodeInfo& node) {
   const XXH64_hash_t seed = XXH3_64bits(node.name.data(), node.name.size());
   const auto         hash = XXH3_64bits_withSeed(key.data(), key.size(), seed);
   const auto         draw =
       (static_cast<double>(hash) + 1.0) /
       static_cast<double>(std::numeric_limits<XXH64_hash_t>::max());
-  // The double nearest to the highest hash makes the draw 1.
+  // Rounding maps the highest hash to 1, whose logarithm is 0.
   constexpr double kAlmostOne = 1.0 - 1e-12;
   return node.millicores / -std::log(std::min(draw, kAlmostOne));
 }
@@ -33,8 +33,8 @@
 
 bool Membership::Suspect(const std::string& name, Time now) {
   const auto [suspicion, added] = m_suspects.try_emplace(name);
-  // Otherwise several questions failed at once, or a probe.
-  if (added) suspicion->second = {now + kFirstProbePause, kFirstProbePause};
+  // Repeated failures do not restart the probe interval.
+  if (added) suspicion->second = {now + kMinProbeInterval, kMinProbeInterval};
   return added;
 }
 
@@ -43,18 +43,18 @@
   for (auto& [name, suspicion] : m_suspects) {
     const auto node = m_nodes.find(name);
     if (now < suspicion.probe_at || node == m_nodes.end()) continue;
-    suspicion.pause = std::min(2 * suspicion.pause, kLongestProbePause);
-    suspicion.probe_at = now + suspicion.pause;
+    suspicion.interval = std::min(2 * suspicion.interval, kMaxProbeInterval);
+    suspicion.probe_at = now + suspicion.interval;
     due.push_back(node->second);
   }
   return due;
 }
 
 std::vector<NodeInfo> Membership::RankCoordinators(std::string_view key) const {
-  auto homes = RankAllNodes(key);
-  std::erase_if(homes,
+  auto coordinators = RankAllNodes(key);
+  std::erase_if(coordinators,
                 [this](const NodeInfo& node) { return Suspected(node.name); });
-  return homes;
+  return coordinators;
 }
 
 std::vector<NodeInfo> Membership::RankAllNodes(std::string_view key) const {
--- a/src/yuccawick/programs/membership.h
+++ b/src/yuccawick/programs/membership.h
@@ -1,12 +1,11 @@
-// The nodes that take traffic, as they announced themselves, and which of them
-// is responsible for a key.
+// Tracks the nodes that take traffic, as announced in the log, and ranks them
+// as coordinators of a key.
 //
-// Every node computes the same home for a key as long as it knows the same
-// nodes; nodes that differ for a while choose two homes, so a home may only
-// make work cheaper, never decide anything that the log does not. Rendezvous
-// hashing moves no more keys than it must when nodes come and go. A node is
-// home of as many keys as its capacity has a share in all: VMs of a tenth of a
-// core beside VMs of a half held up the programs whose tokens they counted.
+// Ranking uses weighted rendezvous hashing: nodes with the same view agree on
+// the coordinator, each coordinates a share of keys proportional to its
+// millicores, and few keys move when nodes join or leave. Nodes with different
+// views may choose different coordinators, so a coordinator only saves work;
+// decisions are made by the order of the log.
 #pragma once
 
 #include <map>
@@ -22,15 +21,15 @@
 using net::Duration;
 using net::Time;
 
-// Of a node that does not say: a whole core.
+// Assumed for a node that does not announce its capacity: one core.
 inline constexpr std::uint32_t kDefaultMillicores = 1000;
 
 struct NodeInfo {
-  std::string   name;         // of the VM; stays over restarts
-  std::string   incarnation;  // of one start
-  net::Endpoint address;      // for other nodes
+  std::string   name;         // VM name; stable across restarts
+  std::string   incarnation;  // unique per start
+  net::Endpoint address;      // listen address for other nodes
   std::string   zone;
-  // What the node can carry against others, in thousandths of a core.
+  // Processing capacity in thousandths of a core.
   std::uint32_t millicores = kDefaultMillicores;
 
   bool operator==(const NodeInfo&) const = default;
@@ -42,41 +41,42 @@
 
   void Put(const NodeInfo& node);
   void Remove(const std::string& name) { m_nodes.erase(name); }
-  // The node did not answer. It is no home until it is heard of again; nothing
-  // that a client waits for is sent there meanwhile. True if that is news.
+  // Records that the node did not answer. It coordinates no key, and no request
+  // that a client waits for is sent to it, until Trust() or a new incarnation.
+  // Returns true if it was not suspected before.
   bool Suspect(const std::string& name, Time now);
-  // The node was heard of; true if it had been suspected.
+  // Records that a message of the node was received; returns true if it was
+  // suspected.
   bool Trust(const std::string& name) { return m_suspects.erase(name) > 0; }
-  // Suspected nodes that are to be asked for a sign of life now; each is due
-  // again after a pause that doubles.
+  // Returns the suspected nodes to probe now. The interval doubles with each
+  // probe of a node.
   std::vector<NodeInfo> TakeDueProbes(Time now);
-  // The nodes that are not suspected, self included, the home of the key first
-  // and then who takes its place if it cannot serve.
+  // Returns the unsuspected nodes including self, in order of preference: the
+  // key's coordinator first, then its replacements.
   std::vector<NodeInfo> RankCoordinators(std::string_view key) const;
-  // The same with suspected nodes in their places.
+  // Like RankCoordinators(), but includes suspected nodes.
   std::vector<NodeInfo> RankAllNodes(std::string_view key) const;
   bool                  Suspected(const std::string& name) const {
                      return m_suspects.contains(name);
   }
   const NodeInfo&       self() const { return m_self; }
   const NodeInfo*       Find(const std::string& name) const;
-  std::vector<NodeInfo> Others() const;  // not suspected
-  std::vector<NodeInfo> All() const;     // but self
+  std::vector<NodeInfo> Others() const;  // without suspected nodes and self
+  std::vector<NodeInfo> All() const;     // without self
 
  private:
   struct Suspicion {
     Time     probe_at = 0;
-    Duration pause = 0;  // before that
+    Duration interval = 0;  // interval before probe_at
   };
   NodeInfo                         m_self;
-  std::map<std::string, NodeInfo>  m_nodes;     // others, by name
+  std::map<std::string, NodeInfo>  m_nodes;     // other nodes, by name
   std::map<std::string, Suspicion> m_suspects;  // by name
 };
 
-// Pauses between two questions to a node that does not answer, in ms. They cost
-// a connection attempt and nobody waits for them; the longest bounds how late a
-// node that nobody hears of otherwise is used again.
-inline constexpr Duration kFirstProbePause = 500;
-inline constexpr Duration kLongestProbePause = 4000;
+// Intervals between probes of a suspected node, in ms. The maximum bounds how
+// long a recovered node that sends no messages stays unused.
+inline constexpr Duration kMinProbeInterval = 500;
+inline constexpr Duration kMaxProbeInterval = 4000;
 
 }  // namespace yuccawick::programs
--- a/src/yuccawick/programs/record.cc
+++ b/src/yuccawick/programs/record.cc
@@ -21,28 +21,28 @@
   return {reinterpret_cast<const char*>(bytes.begin()), bytes.size()};
 }
 
-// Nothing if the bytes are no such record.
-template <class Record, class Take>
-std::optional<Record> Decode(std::string_view bytes, Take take) {
+// Returns nullopt if the bytes are not a valid record.
+template <class Record, class ReadRecord>
+std::optional<Record> Decode(std::string_view bytes, ReadRecord read_record) {
   std::optional<Record> record;
-  const auto            failed = kj::runCatchingExceptions([&] {
+  const auto            exception = kj::runCatchingExceptions([&] {
     kj::ArrayInputStream       in(kj::arrayPtr(
                          reinterpret_cast<const kj::byte*>(bytes.data()), bytes.size()));
     capnp::PackedMessageReader reader(in);
-    record = take(&reader);
+    record = read_record(&reader);
   });
-  return failed == nullptr ? std::move(record) : std::nullopt;
+  return exception == nullptr ? std::move(record) : std::nullopt;
 }
 
-std::string Text(capnp::Text::Reader text) {
+std::string ToString(capnp::Text::Reader text) {
   return {text.cStr(), text.size()};
 }
 
-std::string Bytes(capnp::Data::Reader data) {
+std::string ToBytes(capnp::Data::Reader data) {
   return {reinterpret_cast<const char*>(data.begin()), data.size()};
 }
 
-capnp::Data::Reader AsData(const std::string& bytes) {
+capnp::Data::Reader ToData(const std::string& bytes) {
   return {reinterpret_cast<const kj::byte*>(bytes.data()), bytes.size()};
 }
 
@@ -52,14 +52,14 @@
   builder.setId(turn.id);
   builder.setPrevious(turn.previous);
   builder.setProgram(turn.program);
-  builder.setInput(AsData(turn.input));
-  builder.setOutput(AsData(turn.output));
+  builder.setInput(ToData(turn.input));
+  builder.setOutput(ToData(turn.output));
 }
 
 Turn Read(wire::Turn::Reader reader) {
-  return {Text(reader.getId()), Text(reader.getPrevious()),
-          Text(reader.getProgram()), Bytes(reader.getInput()),
-          Bytes(reader.getOutput())};
+  return {ToString(reader.getId()), ToString(reader.getPrevious()),
+          ToString(reader.getProgram()), ToBytes(reader.getInput()),
+          ToBytes(reader.getOutput())};
 }
 
 std::vector<std::string> EncodeTurn(const Turn& turn) {
@@ -72,12 +72,13 @@
   for (std::size_t part = 0; part < parts; ++part) {
     const std::size_t begin = part * kMaxTurnRecord;
     const std::size_t end = std::min(bytes, begin + kMaxTurnRecord);
-    const std::string text = all.substr(begin, end - begin);
-    // The input comes first, then the output.
-    const std::size_t input = std::min(
-        text.size(), turn.input.size() - std::min(begin, turn.input.size()));
+    const std::string slice_bytes = all.substr(begin, end - begin);
+    // The turn's bytes are its input followed by its output.
+    const std::size_t input =
+        std::min(slice_bytes.size(),
+                 turn.input.size() - std::min(begin, turn.input.size()));
     const Turn slice{turn.id, turn.previous, turn.program,
-                     text.substr(0, input), text.substr(input)};
+                     slice_bytes.substr(0, input), slice_bytes.substr(input)};
     records.push_back(Encode([&](auto* message) {
       auto builder = message->template initRoot<wire::Turn>();
       Write(slice, builder);
@@ -108,9 +109,14 @@
 }
 
 TokenClaim Read(wire::Claim::Reader reader) {
-  return {reader.getNumber(), Text(reader.getNode()), Text(reader.getProgram()),
-          reader.getBudget(), reader.getNeed(),       reader.getWish(),
-          reader.getTaken(),  reader.getBefore()};
+  return {reader.getNumber(),
+          ToString(reader.getNode()),
+          ToString(reader.getProgram()),
+          reader.getBudget(),
+          reader.getNeed(),
+          reader.getWish(),
+          reader.getTaken(),
+          reader.getBefore()};
 }
 
 std::string EncodeClaim(const TokenClaim& claim) {
@@ -134,12 +140,12 @@
     builder.setPreviousAcked(record.previous_acked);
     auto list =
         builder.initEntries(static_cast<unsigned>(record.entries.size()));
-    unsigned at = 0;
+    unsigned index = 0;
     for (const workspaces::RateEntry& entry : record.entries) {
-      list[at].setWorkspace(entry.workspace);
-      list[at].setTokens(static_cast<std::int32_t>(entry.tokens));
-      list[at].setOrigin(entry.origin);
-      ++at;
+      list[index].setWorkspace(entry.workspace);
+      list[index].setTokens(static_cast<std::int32_t>(entry.tokens));
+      list[index].setOrigin(entry.origin);
+      ++index;
     }
   });
 }
@@ -147,13 +153,13 @@
 std::optional<workspaces::RateRecord> DecodeRate(std::string_view bytes) {
   return Decode<workspaces::RateRecord>(bytes, [](auto* message) {
     const auto reader = message->template getRoot<wire::RateRecord>();
-    workspaces::RateRecord record{Text(reader.getNode()),
+    workspaces::RateRecord record{ToString(reader.getNode()),
                                   reader.getPrevious(),
                                   reader.getSent(),
                                   reader.getPreviousAcked(),
                                   {}};
     for (const auto& entry : reader.getEntries()) {
-      record.entries.push_back({Text(entry.getWorkspace()),
+      record.entries.push_back({ToString(entry.getWorkspace()),
                                 static_cast<std::int64_t>(entry.getTokens()),
                                 entry.getOrigin()});
     }
@@ -175,10 +181,11 @@
                                    std::string_view   bytes) {
   auto node = Decode<NodeInfo>(bytes, [&](auto* message) {
     const auto reader = message->template getRoot<wire::Node>();
-    const auto address = net::ParseEndpoint(Text(reader.getAddress()));
+    const auto address = net::ParseEndpoint(ToString(reader.getAddress()));
     const auto capacity = reader.getCapacity();
-    return NodeInfo{name, Text(reader.getIncarnation()),
-                    address.value_or(net::Endpoint{}), Text(reader.getZone()),
+    return NodeInfo{name, ToString(reader.getIncarnation()),
+                    address.value_or(net::Endpoint{}),
+                    ToString(reader.getZone()),
                     capacity > 0 ? capacity : kDefaultMillicores};
   });
   return node && node->address.port != 0 ? node : std::nullopt;
--- a/src/yuccawick/programs/record.h
+++ b/src/yuccawick/programs/record.h
@@ -1,4 +1,7 @@
-// Turns and claims as records of the log and messages between nodes.
+// Encodes and decodes the Cap'n Proto records stored in the log: turns, token
+// claims, rate claims and nodes. Decode functions return nullopt for bytes that
+// are not a valid record. Write() and Read() convert the same types within
+// messages between nodes.
 #pragma once
 
 #include <cstdint>
@@ -15,10 +18,11 @@
 
 namespace yuccawick::programs {
 
-// The log takes records of 256 KB; a larger turn lies in several.
+// Maximum bytes of input and output in one record; leaves room below the log's
+// limit of 256 KB. Larger turns are split.
 inline constexpr std::size_t kMaxTurnRecord = 200UL * 1024;
-// A record of a turn. Joined in order, the inputs and outputs of all its parts
-// are the turn's.
+// One record of a turn. The inputs and outputs of all parts, concatenated in
+// order, are those of the turn.
 struct TurnPart {
   Turn          turn;
   std::uint32_t part = 0;
@@ -33,7 +37,7 @@
 std::optional<workspaces::RateRecord> DecodeRate(std::string_view bytes);
 
 std::string             EncodeNode(const NodeInfo& node);
-// `name` is the key that the record lies under.
+// `name` is the key under which the record is stored.
 std::optional<NodeInfo> DecodeNode(const std::string& name,
                                    std::string_view   bytes);
 
--- a/src/yuccawick/programs/scan_plan.cc
+++ b/src/yuccawick/programs/scan_plan.cc
@@ -5,7 +5,7 @@
 namespace yuccawick::programs {
 namespace {
 
-constexpr Offset kPieceEighths = 7;  // of a page
+constexpr Offset kPieceEighths = 7;  // gap piece, in eighths of a page
 constexpr Offset kEighths = 8;
 
 }  // namespace
@@ -17,23 +17,23 @@
 
 void ScanPlan::OnPageRead(Offset next, Offset end, Offset records) {
   m_end = std::max(m_end, end);
-  // A look that found the last few records says nothing of a page's size; taken
-  // for it, a gap would be read a page for each record.
-  if (next < end && records > 0) m_page = records;
+  // A short read at the end says nothing about the page size. Using it would
+  // split the gap into pieces of a few records each.
+  if (next < end && records > 0) m_page_records = records;
   if (m_in_gap) {
-    TookInGap(next);
+    OnReadInGap(next);
   } else {
-    TookAtEnd(next, end);
+    OnReadAtEnd(next, end);
   }
 }
 
-void ScanPlan::TookAtEnd(Offset next, Offset end) {
+void ScanPlan::OnReadAtEnd(Offset next, Offset end) {
   m_next = std::max(m_next, next);
   const Offset left = end - m_next;
   if (left <= 0) {
     m_complete = !HasGap();
     if (HasGap()) BeginPiece();
-  } else if (!HasGap() && left > kFewPages * m_page) {
+  } else if (!HasGap() && left > kMaxInOrderPages * m_page_records) {
     m_gap_from = m_next;
     m_gap_to = end;
     m_next = end;
@@ -43,18 +43,19 @@
 
 void ScanPlan::BeginPiece() {
   m_in_gap = true;
-  // Shorter than a page: records differ in size, and the few that a page did
-  // not hold would cost another.
-  const Offset piece = std::max<Offset>(1, m_page * kPieceEighths / kEighths);
-  m_piece_from = std::max(m_gap_from, m_gap_to - piece);
-  m_piece_next = m_piece_from;
+  // Smaller than a page because record sizes vary: records that do not fit
+  // would cost another read.
+  const Offset piece =
+      std::max<Offset>(1, m_page_records * kPieceEighths / kEighths);
+  m_piece_begin = std::max(m_gap_from, m_gap_to - piece);
+  m_piece_next = m_piece_begin;
 }
 
-void ScanPlan::TookInGap(Offset next) {
+void ScanPlan::OnReadInGap(Offset next) {
   m_piece_next = std::max(m_piece_next, next);
-  // Its records were larger than those of the page before: the rest follows.
+  // The page did not cover the piece; read the rest first.
   if (m_piece_next < m_gap_to) return;
-  m_gap_to = m_piece_from;
+  m_gap_to = m_piece_begin;
   m_in_gap = false;
 }
 
--- a/src/yuccawick/programs/token_ledger.h
+++ b/src/yuccawick/programs/token_ledger.h
@@ -1,22 +1,17 @@
-// How many tokens each agent program may still generate, over all nodes.
+// Limits the tokens an agent program may generate across all nodes.
 //
-// No node owns a program. A node that wants to run turns of one appends a claim
-// to the platform's log; the order of the log decides what each claim is
-// granted, and every node that reads the log computes the same answer. A claim
-// needs no fencing, no lease and no hand-over: a node that dies takes with it
-// only what it was granted and had not used.
+// A node that wants to run turns of a program appends a claim to the log.
+// TokenLedger replays the claims in log order, so every node computes the same
+// grants; no leases, fencing or ownership transfer are needed. TokenAccount is
+// one node's view of one program: tokens granted to it, reserved by running
+// turns, and used.
 //
-// TokenLedger is that computation. TokenAccount is one node's side of one
-// program: what it was granted, what its turns used, what they may still use.
-//
-// A turn runs on granted tokens only, so whatever is lost, and whenever, what
-// clients were handed stays within what the log has granted. What a node was
-// granted and had not used is lost with it; so a node claims what the turns
-// need that wait for it, and gives back what they left.
-//
-// The ledger grants up to the budget and one turn beyond it: a program may end
-// its budget in the middle of a turn. Counting turns at the most they may
-// generate, nothing that was granted can exceed that.
+// Invariants:
+// - A turn runs only on tokens granted in the log, so lost nodes and messages
+//   never cause overuse. Tokens granted to a node that dies are lost; nodes
+//   therefore claim only what waiting turns need and release the rest.
+// - Grants stay within the budget plus one turn, because a program may exhaust
+//   its budget in the middle of a turn. Turns count at their maximum.
 #pragma once
 
 #include <cstdint>
@@ -34,25 +29,25 @@
 using Tokens = std::int64_t;
 
 struct TokenClaim {
-  std::uint64_t number = 0;  // unique in one incarnation of the node
+  std::uint64_t number = 0;  // unique within one incarnation of the node
   std::string   node;        // the claiming node's incarnation
   std::string   program;
-  Tokens        budget = 0;  // of the program, as its client states it
-  Tokens        need = 0;    // less than this is of no use
-  Tokens        wish = 0;    // taken if half of the rest allows it
-  // Counts whether it fits or not: `wish` is below zero and given back.
-  bool          taken = false;
-  // Granted before, as far as the claiming node knew. Readers begin with it
-  // that find the program's older records deleted.
-  Tokens        before = 0;
+  Tokens        budget = 0;  // budget stated by the client, plus one turn
+  Tokens        need = 0;    // minimum useful grant
+  Tokens wish = 0;  // preferred grant; at most half of the remaining budget
+  // Applied without a check; `wish` is then negative: tokens released.
+  bool   taken = false;
+  // Tokens granted earlier, as known to the claiming node. Initial value for
+  // readers that find the program's older records deleted.
+  Tokens before = 0;
 };
 
 class TokenLedger {
  public:
-  // Applies the next claim in log order; returns the tokens granted. A record
-  // that lies in the log twice counts once.
+  // Applies the next claim in log order and returns the tokens granted. A claim
+  // that appears twice in the log counts once.
   Tokens Apply(const TokenClaim& claim, Time now);
-  // Granted by all records so far.
+  // Tokens granted by all claims applied so far, less those released.
   Tokens Granted(const std::string& program) const;
   void   Expire(Time now);
 
@@ -61,7 +56,7 @@
   struct Entry {
     Tokens             budget = 0;
     Tokens             granted = 0;
-    Time               until = 0;
+    Time               expires_at = 0;
     std::set<RecordId> applied;
   };
 
@@ -70,39 +65,39 @@
 
 enum class TokenAnswer : std::uint8_t {
   kStart,  // reserved; the turn may run
-  kClaim,  // claim NextClaim() first, then ask again
+  kClaim,  // too few tokens: append NextClaim() to the log, then retry
 };
 
 class TokenAccount {
  public:
   explicit TokenAccount(Tokens budget) : m_budget(budget) {}
 
-  // Asks to run a turn of at most `most` tokens.
-  TokenAnswer Reserve(Tokens most);
-  // Whether that turn may fit once turns under way have ended with less than
-  // their most. Ask after a claim for it was granted nothing.
-  bool        MayFitLater(Tokens most) const;
-  // A claim for such a turn; `number`, `node` and `program` are the caller's
-  // to fill.
-  TokenClaim  NextClaim(Tokens most) const;
+  // Tries to reserve tokens for a turn of at most `max_tokens` tokens.
+  TokenAnswer Reserve(Tokens max_tokens);
+  // Whether the turn may fit once running turns end below their maximum. Check
+  // it after a claim for the turn was granted nothing.
+  bool        MayFitLater(Tokens max_tokens) const;
+  // Returns a claim for such a turn; the caller sets `number`, `node` and
+  // `program`.
+  TokenClaim  NextClaim(Tokens max_tokens) const;
   void        OnGranted(Tokens granted);
-  // The turn ended and `used` of its tokens were handed to the client.
-  void        EndTurn(Tokens most, Tokens used);
-  // What is granted and not needed is given up; returns how much.
+  // The turn ended after `used` of its tokens were sent to the client.
+  void        EndTurn(Tokens max_tokens, Tokens used);
+  // Removes the available tokens from the account and returns their number.
   Tokens      ReleaseUnused();
-  // Granted, and not used or reserved.
-  Tokens      Available() const { return m_granted - m_used - m_running; }
+  // Tokens granted and neither used nor reserved.
+  Tokens      Available() const { return m_granted - m_used - m_reserved; }
   Tokens      budget() const { return m_budget; }
 
  private:
   Tokens m_budget;
   Tokens m_granted = 0;
   Tokens m_used = 0;
-  Tokens m_running = 0;  // the most that turns under way may use
+  Tokens m_reserved = 0;  // maximum of the running turns
 };
 
-// How long an idle program's entry is kept, in ms: twice the time for which the
-// log keeps turns at the most, within which a stopped program may come back.
+// Time in ms for which an idle program's entry is kept: twice the longest
+// retention of turns, within which a stopped program may resume.
 inline constexpr Duration kLedgerRetention = 600'000;
 
 }  // namespace yuccawick::programs
--- a/src/yuccawick/programs/turn_history.h
+++ b/src/yuccawick/programs/turn_history.h
@@ -1,10 +1,9 @@
-// The turns of agent programs, kept with their chains.
+// In-memory cache of finished turns, linked into chains by `previous`.
 //
-// A turn's model input is everything its chain said before: the oldest turn's
-// input, each of its events as a line, and so on, then the new input. Turns
-// never change once finished, so any node may hold a copy of any turn and no
-// copy is ever wrong. What this class does not hold may still be in the
-// platform's log; only a complete read of the log makes a turn unknown.
+// The model input of a turn is the input and output of all its ancestors,
+// oldest first, followed by its own input. Finished turns never change, so any
+// node may cache any turn. A turn that is not cached may still be in the log;
+// only a complete read of the log shows that it does not exist.
 #pragma once
 
 #include <string>
@@ -19,49 +18,51 @@
 using net::Time;
 
 struct Turn {
-  std::string id;        // the client attempt's id
-  std::string previous;  // id of the turn it continues from; empty: none
+  std::string id;        // id of the client's attempt
+  std::string previous;  // id of the turn it continues; empty if none
   std::string program;
-  std::string input;   // the request's body
-  std::string output;  // each event's data, a line feed after each
+  std::string input;   // request body
+  std::string output;  // data of each event, with a line feed after each
 };
 
-// The body that a backend server is to receive, or the id of the nearest turn
-// of the chain that is not at hand.
+// Either the request body for the backend server, or the id of the nearest turn
+// in the chain that is not cached.
 struct PromptBuildResult {
   std::string body;
-  std::string missing;  // empty: the chain is whole
+  std::string missing;  // empty if the chain is complete
 };
 
 class TurnHistory {
  public:
-  // Keeps the turn until `retention` after `now`, at least.
+  // Caches the turn until at least `retention` ms after `now`. Adding a known
+  // id again only extends that time.
   void Add(Turn turn, Time now, Duration retention);
   bool Holds(const std::string& id) const { return m_turns.contains(id); }
-  // The turn and all its ancestors are at hand.
+  // Whether the turn and all its ancestors are cached.
   bool HoldsChain(const std::string& id) const { return Missing(id).empty(); }
-  // The nearest turn of the chain that is not at hand; empty: it is whole.
+  // Returns the id of the nearest turn in the chain that is not cached; empty
+  // if the chain is complete.
   std::string       Missing(const std::string& id) const;
-  // A chain that is used is kept on from now, all of it: a turn is worth
-  // nothing without its ancestors.
+  // Builds the model input that continues `previous`, and extends the retention
+  // of the whole chain: a turn is useless without its ancestors.
   PromptBuildResult Build(const std::string& previous, const std::string& input,
                           Time now, Duration retention);
-  // The turn and its ancestors as far as they are at hand, newest first.
+  // Returns the turn and its cached ancestors, newest first.
   std::vector<const Turn*> CollectChain(const std::string& id) const;
   void                     Expire(Time now);
-  // Drops turns until at most so many bytes are left, those first that would
-  // expire first. They may still be in the log, as any that is not held.
+  // Evicts turns, earliest expiry first, until at most `bytes` are cached.
   void                     Shrink(std::size_t bytes);
   std::size_t              size() const { return m_turns.size(); }
-  std::size_t              bytes() const { return m_bytes; }  // of all turns
+  // Approximate memory of all turns.
+  std::size_t              bytes() const { return m_bytes; }
 
  private:
-  struct Kept {
+  struct CachedTurn {
     Turn turn;
-    Time until = 0;
+    Time expires_at = 0;
   };
-  std::unordered_map<std::string, Kept> m_turns;
-  std::size_t                           m_bytes = 0;
+  std::unordered_map<std::string, CachedTurn> m_turns;
+  std::size_t                                 m_bytes = 0;
 };
 
 }  // namespace yuccawick::programs
--- a/tests/programs_test.cc
+++ b/tests/programs_test.cc
@@ -1,4 +1,4 @@
-// Histories, token ledgers and the choice of homes, without any node.
+// Unit tests of turn histories, token ledgers, membership and scan plans.
 #include <criterion/criterion.h>
 #include <rapidcheck.h>
 
@@ -24,7 +24,7 @@
 
 constexpr net::Duration kMinute = 60'000;
 
-Test(TurnHistory, ChainOfTurns_IsBuiltOldestFirst) {
+Test(TurnHistory, ChainOfTurns_InputIsBuiltOldestFirst) {
   TurnHistory history;
   history.Add({"1", "", "p", "a", "A\n"}, 0, kMinute);
   history.Add({"2", "1", "p", "b", "B\n"}, 0, kMinute);
@@ -33,7 +33,7 @@
   cr_assert(chain.body == "aA\nbB\nc");
 }
 
-Test(TurnHistory, AncestorNotHeld_IsNamed) {
+Test(TurnHistory, AncestorNotCached_ItsIdIsReturned) {
   TurnHistory history;
   history.Add({"3", "2", "p", "c", "C\n"}, 0, kMinute);
   cr_assert(history.Build("3", "d", 0, kMinute).missing == "2");
@@ -41,7 +41,7 @@
   cr_assert_not(history.HoldsChain("3"));
 }
 
-Test(TurnHistory, ChainThatIsUsed_IsKeptWhole) {
+Test(TurnHistory, ChainIsUsed_AllItsTurnsAreRetained) {
   TurnHistory history;
   history.Add({"1", "", "p", "a", ""}, 0, kMinute);
   history.Add({"2", "1", "p", "b", ""}, 0, kMinute);
@@ -52,14 +52,14 @@
   cr_assert_eq(history.size(), 0);
 }
 
-Test(TurnHistory, TurnAddedTwice_StaysAsItWas) {
+Test(TurnHistory, TurnAddedTwice_FirstOneIsKept) {
   TurnHistory history;
   history.Add({"1", "", "p", "a", "A"}, 0, kMinute);
   history.Add({"1", "", "p", "other", "X"}, 0, kMinute);
   cr_assert(history.Build("1", "", 0, kMinute).body == "aA");
 }
 
-Test(Record, TurnAndClaim_SurviveTheLog) {
+Test(Record, TurnAndClaim_DecodeToTheSameValues) {
   const Turn turn{"1", "0", "p", std::string("a\0b", 3), "out\n"};
   const auto read = programs::DecodeTurn(programs::EncodeTurn(turn).front());
   cr_assert(read && read->parts == 1);
@@ -70,10 +70,12 @@
   cr_assert(back && back->number == 7 && back->taken && back->wish == 50);
 }
 
-Test(Record, TurnLargerThanARecord_ItsPartsJoinToIt) {
-  constexpr std::size_t kMost = programs::kMaxTurnRecord;
-  for (const std::size_t input : {kMost - 1, kMost, kMost + 1, 3 * kMost}) {
-    for (const std::size_t output : {std::size_t{0}, std::size_t{5}, kMost}) {
+Test(Record, TurnLargerThanARecord_PartsJoinToTheTurn) {
+  constexpr std::size_t kMaxBytes = programs::kMaxTurnRecord;
+  for (const std::size_t input :
+       {kMaxBytes - 1, kMaxBytes, kMaxBytes + 1, 3 * kMaxBytes}) {
+    for (const std::size_t output :
+         {std::size_t{0}, std::size_t{5}, kMaxBytes}) {
       const Turn turn{"1", "0", "p", std::string(input, 'i'),
                       std::string(output, 'o')};
       Turn       joined{"1", "0", "p", "", ""};
@@ -95,7 +97,7 @@
   return {number, node, "p", 100, need, wish, false};
 }
 
-Test(TokenLedger, ClaimsInLogOrder_GetHalfOfTheRestOrTheirNeed) {
+Test(TokenLedger, ClaimsInLogOrder_GetTheirNeedOrHalfOfTheRemainder) {
   TokenLedger ledger;
   cr_assert_eq(ledger.Apply(MakeClaim(1, "a", 10, 50), 0), 50);
   cr_assert_eq(ledger.Apply(MakeClaim(1, "b", 10, 50), 0), 25);
@@ -104,7 +106,7 @@
   cr_assert_eq(ledger.Apply(MakeClaim(1, "e", 5, 5), 0), 5);
 }
 
-Test(TokenLedger, GivenBackTwiceInTheLog_CountsOnce) {
+Test(TokenLedger, ReleaseIsTwiceInTheLog_CountsOnce) {
   TokenLedger ledger;
   cr_assert_eq(ledger.Apply(MakeClaim(1, "a", 90, 90), 0), 90);
   TokenClaim back = MakeClaim(2, "a", 0, -40);
@@ -115,9 +117,9 @@
   cr_assert_eq(ledger.Apply(MakeClaim(4, "a", 50, 50), 0), 50);
 }
 
-Test(TokenAccount, TurnsUnderWayFillTheRest_MayFitLater) {
-  // A turn is counted at its most until it ends; it usually ends with less. A
-  // program whose budget is only reserved is asked to wait.
+Test(TokenAccount, RunningTurnsReserveTheRemainder_TurnMayFitLater) {
+  // Guards against ending a program whose remaining budget is only reserved:
+  // running turns count at their maximum until they end, usually with less.
   TokenAccount account(40);
   cr_assert(account.Reserve(20) == TokenAnswer::kClaim);
   account.OnGranted(20);
@@ -131,16 +133,16 @@
   cr_assert_not(account.MayFitLater(20));
 }
 
-// Nodes claim, run turns, give back and die in any order. What all turns
-// together use is never more than the budget and one turn.
-// The same cases each time; more with RC_PARAMS from outside.
+// Uses the same cases in each run, unless RC_PARAMS is set.
 void FixSeeds() { setenv("RC_PARAMS", "seed=20261202 max_success=300", 0); }
 
+// Guards against overuse: nodes claim, run turns, release tokens and die in any
+// order, and all turns together stay within the budget and one turn.
 Test(TokenLedger, AnyOrderOfClaimsAndDeaths_NeverGrantsMoreThanTheBudget) {
   FixSeeds();
-  const bool held = rc::check([] {
-    const Tokens most = *rc::gen::inRange<Tokens>(1, 50);
-    const Tokens budget = most * *rc::gen::inRange<Tokens>(1, 9);
+  const bool passed = rc::check([] {
+    const Tokens max_tokens = *rc::gen::inRange<Tokens>(1, 50);
+    const Tokens budget = max_tokens * *rc::gen::inRange<Tokens>(1, 9);
     const auto   steps =
         *rc::gen::container<std::vector<int>>(rc::gen::inRange(0, 100));
     TokenLedger               log;
@@ -150,21 +152,21 @@
     for (const int step : steps) {
       TokenAccount& node = nodes[static_cast<std::size_t>(step) % 4];
       if (step >= 90) {
-        node = TokenAccount(budget);  // died; a new start knows nothing
+        node = TokenAccount(budget);  // died; the new incarnation has no grants
         continue;
       }
-      auto answer = node.Reserve(most);
+      auto answer = node.Reserve(max_tokens);
       if (answer == TokenAnswer::kClaim) {
-        TokenClaim claim = node.NextClaim(most);
+        TokenClaim claim = node.NextClaim(max_tokens);
         claim.number = ++number;
         claim.node = std::to_string(step % 4);
         claim.program = "p";
         node.OnGranted(log.Apply(claim, 0));
-        answer = node.Reserve(most);
+        answer = node.Reserve(max_tokens);
       }
       if (answer != TokenAnswer::kStart) continue;
-      const Tokens spent = step % 2 == 0 ? most : most / 2;
-      node.EndTurn(most, spent);
+      const Tokens spent = step % 2 == 0 ? max_tokens : max_tokens / 2;
+      node.EndTurn(max_tokens, spent);
       used += spent;
       if (step % 3 != 0) continue;
       TokenClaim back{++number, std::to_string(step % 4), "p", budget,
@@ -172,18 +174,18 @@
       log.Apply(back, 0);
       if (step % 9 == 0) log.Apply(back, 0);
     }
-    RC_ASSERT(used <= budget + most);
+    RC_ASSERT(used <= budget + max_tokens);
   });
-  cr_assert(held);
+  cr_assert(passed);
 }
 
 programs::NodeInfo MakeNode(const std::string& name) {
   return {name, name + "/1", {}, "z"};
 }
 
-Test(Membership, SuspectedTwice_IsNewsOnce) {
-  // Nodes that tell a lost node something again and again would otherwise log
-  // its loss each time.
+Test(Membership, NodeSuspectedTwice_IsReportedOnce) {
+  // Guards against repeated log lines: sending to an unreachable node several
+  // times must report it once.
   programs::Membership members({"a", "a/1", {}, "z"});
   members.Put({"b", "b/1", {}, "z"});
   cr_assert(members.Suspect("b", 0));
@@ -192,27 +194,27 @@
   cr_assert(members.Suspect("b", 20));
 }
 
-Test(Membership, EveryNode_ChoosesTheSameHomes) {
+Test(Membership, SameViewOfNodes_AllChooseTheSameCoordinators) {
   const std::vector<std::string> names{"a", "b", "c", "d", "e"};
   std::vector<std::string>       first;
   for (const std::string& self : names) {
     programs::Membership members(MakeNode(self));
     for (const std::string& other : names) members.Put(MakeNode(other));
-    std::vector<std::string> homes;
-    homes.reserve(50);
+    std::vector<std::string> coordinators;
+    coordinators.reserve(50);
     for (int key = 0; key < 50; ++key) {
-      homes.push_back(
+      coordinators.push_back(
           members.RankCoordinators(std::to_string(key)).front().name);
     }
-    if (first.empty()) first = homes;
-    cr_assert(homes == first);
+    if (first.empty()) first = coordinators;
+    cr_assert(coordinators == first);
   }
   cr_assert_eq(std::set<std::string>(first.begin(), first.end()).size(), 5);
 }
 
-Test(Membership, NodesOfDifferentCapacity_AreHomesOfTheirShare) {
-  // Five VMs of half a core and five of a tenth. The small ones would hold up
-  // the programs that they count for if each were home of as many.
+Test(Membership, NodesOfDifferentCapacity_CoordinateTheirShare) {
+  // Guards against overloading small VMs: five nodes of half a core and five of
+  // a tenth must coordinate keys in proportion to their capacity.
   programs::Membership members(MakeNode("a"));
   for (int i = 0; i < 5; ++i) {
     programs::NodeInfo large = MakeNode("large" + std::to_string(i));
@@ -226,19 +228,19 @@
   int           at_large = 0;
   constexpr int kKeys = 3000;
   for (int key = 0; key < kKeys; ++key) {
-    const auto home =
+    const auto coordinator =
         members.RankCoordinators(std::to_string(key)).front().name;
-    at_small += home.starts_with("small") ? 1 : 0;
-    at_large += home.starts_with("large") ? 1 : 0;
+    at_small += coordinator.starts_with("small") ? 1 : 0;
+    at_large += coordinator.starts_with("large") ? 1 : 0;
   }
-  // 1,000, 5 x 500 and 5 x 100 of 4,000.
+  // Node "a" has 1000 millicores, the others 5 x 500 and 5 x 100.
   cr_expect(std::abs(at_large - kKeys * 2500 / 4000) < kKeys / 20, "%d",
             at_large);
   cr_expect(std::abs(at_small - kKeys * 500 / 4000) < kKeys / 20, "%d",
             at_small);
 }
 
-Test(Membership, NodeSuspected_OnlyItsOwnKeysMoveUntilItIsHeardOf) {
+Test(Membership, NodeSuspected_OnlyItsKeysMoveUntilItIsTrusted) {
   programs::Membership members(MakeNode("a"));
   for (const auto* name : {"b", "c", "d"}) members.Put(MakeNode(name));
   std::vector<std::string> before;
@@ -250,8 +252,8 @@
   members.Suspect("c", 0);
   for (int key = 0; key < 50; ++key) {
     const auto now = members.RankCoordinators(std::to_string(key)).front().name;
-    const auto was = before[static_cast<std::size_t>(key)];
-    cr_assert(was == "c" ? now != "c" : now == was);
+    const auto previous = before[static_cast<std::size_t>(key)];
+    cr_assert(previous == "c" ? now != "c" : now == previous);
   }
   members.Trust("c");
   for (int key = 0; key < 50; ++key) {
@@ -260,10 +262,9 @@
   }
 }
 
-Test(Membership, NodeGoneForGood_IsProbedLessAndLessAndIsNoHome) {
-  // A node that lost power for good stays in the list of nodes. A request that
-  // is sent there waits for a timeout, so none is; probes that nobody waits for
-  // look for it in growing pauses.
+Test(Membership, NodeGoneForGood_IsProbedAtGrowingIntervals) {
+  // Guards against requests that wait for a timeout at a node that lost power
+  // for good: only probes are sent to it, at growing intervals.
   programs::Membership members(MakeNode("a"));
   members.Put(MakeNode("b"));
   members.Suspect("b", 0);
@@ -278,8 +279,8 @@
   cr_assert(probes == expected);
 }
 
-// Reads a partition of `end` records, `page` of them at a time, as a plan says;
-// the offsets of its reads.
+// Reads a partition of `end` records as the plan requests, up to `page` records
+// at a time. Returns the offsets of the reads.
 std::vector<programs::Offset> ReadAll(programs::ScanPlan*         plan,
                                       programs::Offset            end,
                                       programs::Offset            page,
@@ -295,13 +296,14 @@
   return reads;
 }
 
-// For forty pages: pieces of three quarters of a page at the least, each with a
-// look at the end.
-constexpr std::size_t kMostReads = 2 * 40 * 4 / 3 + 4;
+// Bound for forty pages: pieces of at least three quarters of a page, each
+// followed by a read at the end.
+constexpr std::size_t kMaxReads = 2 * 40 * 4 / 3 + 4;
 
 Test(ScanPlan, NodeStartsBeforeALongPartition_NewestRecordsAreReadFirst) {
-  // All nodes start anew and the turns that their clients name are the last
-  // ones of a partition of forty pages: the second read brings them.
+  // Guards against reading a long partition in order after a full restart: the
+  // turns that clients continue are at its end, so the second read returns
+  // them.
   programs::ScanPlan         plan;
   std::set<programs::Offset> seen;
   plan.Begin();
@@ -309,13 +311,12 @@
   cr_assert_eq(reads[0], 0);
   cr_assert_geq(reads[1], 390);
   cr_assert_eq(seen.size(), 400);
-  cr_expect_leq(reads.size(), kMostReads, "%zu reads", reads.size());
+  cr_expect_leq(reads.size(), kMaxReads, "%zu reads", reads.size());
 }
 
-Test(ScanPlan, LooksThatFoundLittleBeforeALongGap_GapIsReadInWholePages) {
-  // A node that follows the end sees one record a look. Then it is cut from the
-  // log for a while, and forty pages lie there. Were one record taken for a
-  // page, the gap would cost four hundred of them, at all readers at once.
+Test(ScanPlan, ShortReadsBeforeALongGap_GapIsReadInWholePages) {
+  // Guards against taking a short read at the end for a whole page: after an
+  // outage, the gap would be read record by record on every node.
   programs::ScanPlan         plan;
   std::set<programs::Offset> seen;
   for (programs::Offset end = 1; end <= 20; ++end) {
@@ -325,7 +326,7 @@
   plan.Begin();
   const auto reads = ReadAll(&plan, 420, 10, &seen);
   cr_assert_eq(seen.size(), 420);
-  cr_expect_leq(reads.size(), kMostReads, "%zu reads", reads.size());
+  cr_expect_leq(reads.size(), kMaxReads, "%zu reads", reads.size());
 }
 
 Test(ScanPlan, FewNewRecords_AreReadInOrder) {
@@ -340,10 +341,9 @@
 }
 
 Test(ScanPlan, AnyPagesAndAnyGrowth_CompleteOnlyWhenAllWasRead) {
-  // Pages differ in length, the partition grows while it is read, reads fail
-  // and searches begin again anywhere. A plan that says that it is complete
-  // has read every record up to the end that it saw.
-  const bool held = rc::check([](const std::vector<std::uint8_t>& draws) {
+  // Guards against reporting a scan as complete with records unread, for any
+  // page sizes, growth of the partition, failed reads and restarts of the scan.
+  const bool passed = rc::check([](const std::vector<std::uint8_t>& draws) {
     programs::ScanPlan         plan;
     std::set<programs::Offset> seen;
     programs::Offset           end = 50;
@@ -364,10 +364,10 @@
         RC_ASSERT(seen.size() == static_cast<std::size_t>(end));
     }
   });
-  cr_assert(held);
+  cr_assert(passed);
 }
 
-Test(ScanPlan, RecordsDeletedBeforeTheyWereRead_AreSaidToBeMissing) {
+Test(ScanPlan, RecordsDeletedBeforeTheyWereRead_AreReported) {
   programs::ScanPlan         plan;
   std::set<programs::Offset> seen;
   plan.Begin();
