--- a/src/yuccawick/workspaces/key_lease.h
+++ b/src/yuccawick/workspaces/key_lease.h
@@ -1,15 +1,14 @@
-// For how long a node may rely on the keys that it knows.
+// Decides whether a node may still rely on the API keys it has read from the
+// manifest.
 //
-// The operator takes a key away by a new manifest, and no node may honour it
-// for longer than a bound after that. A node that the log does not answer
-// cannot hear of it. So its knowledge is a lease: it runs from the moment at
-// which the read was sent that showed the manifest to be the newest, since
-// whatever was written before that moment is known here. When it has run out
-// the node refuses with 503, as it does not know; it never says that a key is
-// unknown.
+// The operator revokes a key with a new manifest, and nodes must stop accepting
+// the key within a configured bound. A node that cannot read the log cannot see
+// the change, so its copy is a lease that starts when the last successful read
+// was sent. Once the lease expires, requests are refused with 503, never as an
+// unknown key.
 //
-// Ask at each send to a server, with the time read at that moment: a node that
-// was frozen in between wakes with an old lease and an old idea of the time.
+// Call Holds() right before each send to a server, with the current time: a
+// process resumed after a suspension still has its old lease and loop time.
 #pragma once
 
 #include <algorithm>
@@ -24,23 +23,23 @@
 
 class KeyLease {
  public:
-  // `bound`: ms for which a key may be honoured after it was taken away;
-  // nothing: the operator sets none, and the lease always holds.
+  // `bound`: ms for which a revoked key may still be accepted; nullopt: no
+  // bound, the lease never expires.
   explicit KeyLease(std::optional<Duration> bound) : m_bound(bound) {}
 
-  // All that was written before `as_of` is known here.
+  // All manifests written before `as_of` are known to this node.
   void Renew(Time as_of) { m_as_of = std::max(m_as_of.value_or(as_of), as_of); }
   bool Holds(Time now) const {
-    return !m_bound || (m_as_of && now < *m_as_of + *m_bound - kMargin);
+    return !m_bound || (m_as_of && now < *m_as_of + *m_bound - kSendMargin);
   }
-  // So old that it would run out soon: clients are better sent elsewhere.
-  // Always renewed well before that while the log answers.
+  // True well before the lease expires, so that clients can be sent to other
+  // nodes in time. Does not occur while the log answers.
   bool IsExpiring(Time now) const {
     return m_bound &&
            (!m_as_of || static_cast<double>(now - *m_as_of) >
-                            kOldShare * static_cast<double>(*m_bound));
+                            kExpiringShare * static_cast<double>(*m_bound));
   }
-  // In ms; nothing: never renewed.
+  // Time since the last renewal in ms; nullopt if never renewed.
   std::optional<Duration> Age(Time now) const {
     if (!m_as_of) return std::nullopt;
     return now - *m_as_of;
@@ -48,9 +47,9 @@
   bool bounded() const { return m_bound.has_value(); }
 
  private:
-  // For a request's way to its server, and the coarseness of timers, in ms.
-  static constexpr Duration kMargin = 150;
-  static constexpr double   kOldShare = 0.45;
+  // Covers a request's transit to its server and timer resolution, in ms.
+  static constexpr Duration kSendMargin = 150;
+  static constexpr double   kExpiringShare = 0.45;
 
   std::optional<Duration> m_bound;
   std::optional<Time>     m_as_of;
--- a/src/yuccawick/workspaces/rate_allocator.cc
+++ b/src/yuccawick/workspaces/rate_allocator.cc
@@ -8,87 +8,91 @@
 namespace {
 
 constexpr double   kMillisPerSecond = 1000.0;
-// Claimed ahead, as so many ms of what is asked for: some calls of the log.
-constexpr double   kAhead = 300.0;
-// With less of the allowance left than this share, a node must ask before it
-// lets a program begin.
+// Expected demand to claim ahead, in ms; covers a few log writes.
+constexpr double   kClaimAhead = 300.0;
+// Below this share of the allowance, tokens are scarce: nodes must ask before
+// they start a program.
 constexpr double   kScarceShare = 0.5;
-// With more of it left than this share, they are plenty.
+// Above this share of the allowance, nodes receive extra tokens.
 constexpr double   kPlentyShare = 0.6;
-// Of what is left, a node gets this share beyond what it asked for, up to so
-// many: the next steps of the program that it serves find a token at hand.
-constexpr double   kExtraShare = 0.05;
-constexpr double   kMostExtra = 8.0;
-// Claims that end within this time, in ms, are room for programs under way:
-// about a program's length.
-constexpr Duration kLookAhead = 2000;
-// A program that no node told of for so long, in ms, has ended: longer than its
-// pauses, and than a node takes to use what it has at hand.
-constexpr Duration kEndedAfter = 2000;
-// Programs that end so long after the last refusal, in ms, were not cut.
-constexpr Duration kWholeAfter = 5000;
-constexpr Duration kCommittedAge = 20;  // ms
-// Of the allowance, that one program is reckoned with.
-constexpr double   kMostOfOne = 0.5;
-constexpr double   kLeastRest = 0.25;  // of the typical need
-// What a program is learned from counts at most as so many typical ones.
-constexpr double   kMostLearned = 2.0;
-constexpr double   kLearning = 0.02;  // weight of one program
-// Nobody is sent away for longer, in ms: no client waits that long.
-constexpr Duration kLongestReturn = 3000;
-// A workspace that nobody asked for is forgotten after this time, in ms.
-constexpr Duration kStateMemory = 60'000;
-constexpr Duration kUnlimitedValid = 1000;  // ms
+// Share of the remaining tokens that a node receives beyond its request, up to
+// kMaxExtraTokens. They serve the next calls of the same programs without
+// another request.
+constexpr double   kExtraTokenShare = 0.05;
+constexpr double   kMaxExtraTokens = 8.0;
+// Claims that expire within this time, in ms, count as available for new
+// programs.
+constexpr Duration kProjectionTime = 2000;
+// A program not reported for this time, in ms, is considered finished. Longer
+// than pauses between calls, and than a node takes to use its tokens.
+constexpr Duration kProgramIdleTimeout = 2000;
+// Programs that end at least this long after the last refusal, in ms, were not
+// cut short by the limit.
+constexpr Duration kUnthrottledAfter = 5000;
+constexpr Duration kCommittedCacheTime = 20;  // ms
+// Maximum share of the allowance assumed for one program.
+constexpr double   kMaxProgramShare = 0.5;
+// Minimum remaining need of a running program, as a share of the typical need.
+constexpr double   kMinRemainingShare = 0.25;
+// Caps the need learned from one program, as a multiple of the typical need.
+constexpr double   kMaxSampleRatio = 2.0;
+constexpr double   kLearningRate = 0.02;   // weight of one program
+constexpr Duration kMaxRetryDelay = 3000;  // ms; clients give up beyond it
+// Time in ms after which an unused workspace's state is dropped.
+constexpr Duration kIdleStateLifetime = 60'000;
+constexpr Duration kUnlimitedTokenLifetime = 1000;  // ms
 
 }  // namespace
 
 void ProgramDemand::Observe(ProgramHash program, std::int64_t taken, Time now) {
-  Program& noted = m_programs[program];
-  noted.seen = now;
-  noted.taken += taken;
+  Program& observed = m_programs[program];
+  observed.last_seen = now;
+  observed.taken += taken;
 }
 
 double ProgramDemand::Committed(Time now) {
-  if (m_committed_at >= 0 && now - m_committed_at < kCommittedAge) {
+  if (m_committed_at >= 0 && now - m_committed_at < kCommittedCacheTime) {
     return m_committed;
   }
   m_committed = 0;
   m_committed_at = now;
   for (const auto& [hash, program] : m_programs) {
-    if (now - program.seen >= kEndedAfter) continue;
-    // One that took more than most may still take some.
-    const double rest = *m_typical - static_cast<double>(program.taken);
-    m_committed += std::max(rest, kLeastRest * *m_typical);
+    if (now - program.last_seen >= kProgramIdleTimeout) continue;
+    // A program that exceeds the typical need may still use more.
+    const double rest = *m_typical_need - static_cast<double>(program.taken);
+    m_committed += std::max(rest, kMinRemainingShare * *m_typical_need);
   }
   return m_committed;
 }
 
-void ProgramDemand::Sweep(Time now, bool whole) {
-  std::erase_if(m_programs, [this, now, whole](const auto& entry) {
-    if (now - entry.second.seen < kEndedAfter) return false;
-    if (!whole) return true;
-    // Programs that do not end must not pass for what is usual.
+void ProgramDemand::Sweep(Time now, bool unthrottled) {
+  std::erase_if(m_programs, [this, now, unthrottled](const auto& entry) {
+    if (now - entry.second.last_seen < kProgramIdleTimeout) return false;
+    if (!unthrottled) return true;
+    // Programs that never end must not raise the typical need without bound.
     const double taken = std::min(static_cast<double>(entry.second.taken),
-                                  kMostLearned * *m_typical);
-    *m_typical += (std::max(1.0, taken) - *m_typical) * kLearning;
+                                  kMaxSampleRatio * *m_typical_need);
+    *m_typical_need += (std::max(1.0, taken) - *m_typical_need) * kLearningRate;
     return true;
   });
 }
 
 RateAllocator::State& RateAllocator::StateOf(const std::string& workspace) {
-  return m_states.try_emplace(workspace, &m_typical).first->second;
+  return m_states.try_emplace(workspace, &m_typical_need).first->second;
 }
 
-double RateAllocator::LongRun(const RateLimit& limit) const {
+double RateAllocator::SustainedRate(const RateLimit& limit) const {
   return Allowance(limit, m_window) * kMillisPerSecond /
          static_cast<double>(m_ledger.Span());
 }
 
-std::int64_t RateAllocator::Extra(const std::string& workspace,
-                                  const RateLimit& limit, Time now) const {
+std::int64_t RateAllocator::ExtraTokens(const std::string& workspace,
+                                        const RateLimit&   limit,
+                                        Time               now) const {
   const double left = m_ledger.Remaining(workspace, now);
   if (left < kPlentyShare * Allowance(limit, m_window)) return 0;
-  return static_cast<std::int64_t>(std::min(kMostExtra, kExtraShare * left));
+  return static_cast<std::int64_t>(
+      std::min(kMaxExtraTokens, kExtraTokenShare * left));
 }
 
 bool RateAllocator::IsScarce(const std::string& workspace,
@@ -97,99 +101,101 @@
          kScarceShare * Allowance(limit, m_window);
 }
 
-double RateAllocator::Free(const std::string& workspace, State* state,
-                           Time now) const {
-  return m_ledger.Remaining(workspace, now + kLookAhead) +
+double RateAllocator::UncommittedTokens(const std::string& workspace,
+                                        State* state, Time now) const {
+  return m_ledger.Remaining(workspace, now + kProjectionTime) +
          static_cast<double>(state->pool.Available(now)) -
          state->programs.Committed(now);
 }
 
-Duration RateAllocator::NextReturn(State* state, const RateLimit& limit,
-                                   Time now) const {
-  const double   pause = m_typical / LongRun(limit) * kMillisPerSecond;
+Duration RateAllocator::NextRetryDelay(State* state, const RateLimit& limit,
+                                       Time now) const {
+  const double delay = m_typical_need / SustainedRate(limit) * kMillisPerSecond;
   const Duration wait =
-      std::max(state->next_return, now) + std::llround(pause) - now;
-  state->next_return = wait > kLongestReturn ? now : now + wait;
-  return std::clamp<Duration>(wait, 1, kLongestReturn);
+      std::max(state->next_retry_at, now) + std::llround(delay) - now;
+  state->next_retry_at = wait > kMaxRetryDelay ? now : now + wait;
+  return std::clamp<Duration>(wait, 1, kMaxRetryDelay);
 }
 
-RateAllocator::SubmittedRequest RateAllocator::Submit(const RateRequest& ask,
-                                                      Time               now) {
-  SubmittedRequest entered{ask.workspace, ask.want, ask.waiting, false};
-  const auto       limit = m_limit_of(ask.workspace);
+RateAllocator::SubmittedRequest RateAllocator::Submit(
+    const RateRequest& request, Time now) {
+  SubmittedRequest submitted{request.workspace, request.want, request.waiting,
+                             false};
+  const auto       limit = m_limit_of(request.workspace);
   if (!limit) {
-    entered.need += static_cast<int>(ask.waiting.size());
-    return entered;
+    submitted.need += static_cast<int>(request.waiting.size());
+    return submitted;
   }
-  State& state = StateOf(ask.workspace);
-  state.used = now;
-  for (const RateRequest::Step& step : ask.steps) {
+  State& state = StateOf(request.workspace);
+  state.last_used = now;
+  for (const RateRequest::Step& step : request.steps) {
     state.programs.Observe(step.program, step.tokens, now);
   }
-  entered.may_go_on.clear();
-  // A limit may be smaller than what a program usually needs.
+  submitted.may_go_on.clear();
+  // The limit may be smaller than a typical program's need.
   const double needed =
-      std::min(m_typical, kMostOfOne * Allowance(*limit, m_window));
-  double free = Free(ask.workspace, &state, now);
-  for (const ProgramHash program : ask.waiting) {
+      std::min(m_typical_need, kMaxProgramShare * Allowance(*limit, m_window));
+  double free = UncommittedTokens(request.workspace, &state, now);
+  for (const ProgramHash program : request.waiting) {
     if (!state.programs.Knows(program)) {
       if (free < needed) {
-        entered.refused = true;
-        ++state.turned_away;
+        submitted.refused = true;
+        ++state.refused_count;
         continue;
       }
       free -= needed;
     }
     state.programs.Observe(program, 0, now);
-    entered.may_go_on.push_back(program);
+    submitted.may_go_on.push_back(program);
   }
-  entered.need += static_cast<int>(entered.may_go_on.size());
-  state.unused.insert(state.unused.end(), ask.unused.begin(), ask.unused.end());
-  m_due.insert(ask.workspace);
-  return entered;
+  submitted.need += static_cast<int>(submitted.may_go_on.size());
+  state.unused.insert(state.unused.end(), request.unused.begin(),
+                      request.unused.end());
+  m_claims_due.insert(request.workspace);
+  return submitted;
 }
 
 std::optional<RateResponse> RateAllocator::TryRespond(
-    const SubmittedRequest& entered, Time now) {
-  RateResponse answer;
-  answer.may_go_on = entered.may_go_on;
-  const auto limit = m_limit_of(entered.workspace);
+    const SubmittedRequest& submitted, Time now) {
+  RateResponse response;
+  response.may_go_on = submitted.may_go_on;
+  const auto limit = m_limit_of(submitted.workspace);
   if (!limit) {
-    answer.tokens = entered.need;
-    answer.valid = kUnlimitedValid;
-    return answer;
+    response.tokens = submitted.need;
+    response.valid = kUnlimitedTokenLifetime;
+    return response;
   }
-  State& state = StateOf(entered.workspace);
-  answer.scarce = IsScarce(entered.workspace, *limit, now);
-  if (entered.refused) {
-    answer.new_program_retry_delay = NextReturn(&state, *limit, now);
+  State& state = StateOf(submitted.workspace);
+  response.scarce = IsScarce(submitted.workspace, *limit, now);
+  if (submitted.refused) {
+    response.new_program_retry_delay = NextRetryDelay(&state, *limit, now);
   }
-  if (entered.need == 0) return answer;
-  const auto extra = Extra(entered.workspace, *limit, now);
-  answer.plenty = extra > 0;
-  const auto batch = state.pool.TakeUpTo(entered.need + extra, now);
+  if (submitted.need == 0) return response;
+  const auto extra = ExtraTokens(submitted.workspace, *limit, now);
+  response.plenty = extra > 0;
+  const auto batch = state.pool.TakeUpTo(submitted.need + extra, now);
   if (batch.tokens > 0) {
-    // What is handed out counts, not what is asked for: who gets nothing asks
-    // again and again.
-    const auto handed = static_cast<double>(batch.tokens);
-    state.demand.Count(handed, now);
-    answer.tokens = static_cast<int>(batch.tokens);
-    answer.valid = batch.until - now;
-    answer.origin = batch.origin;
-    return answer;
+    // Counts tokens granted, not requested: refused nodes repeat their
+    // requests.
+    const auto granted = static_cast<double>(batch.tokens);
+    state.demand.Count(granted, now);
+    response.tokens = static_cast<int>(batch.tokens);
+    response.valid = batch.until - now;
+    response.origin = batch.origin;
+    return response;
   }
-  if (m_ledger.Remaining(entered.workspace, now) >= 1) {
-    m_due.insert(entered.workspace);
+  if (m_ledger.Remaining(submitted.workspace, now) >= 1) {
+    m_claims_due.insert(submitted.workspace);
     return std::nullopt;
   }
-  ++state.turned_away;
+  ++state.refused_count;
   state.refused_at = now;
-  answer.retry_delay = std::min(
-      kLongestReturn, m_ledger.TimeUntilRemaining(entered.workspace, 1, now)
-                          .value_or(kLongestReturn));
-  answer.new_program_retry_delay =
-      std::max(answer.new_program_retry_delay, answer.retry_delay);
-  return answer;
+  response.retry_delay = std::min(
+      kMaxRetryDelay, m_ledger.TimeUntilRemaining(submitted.workspace, 1, now)
+                          .value_or(kMaxRetryDelay));
+  response.new_program_retry_delay =
+      std::max(response.new_program_retry_delay, response.retry_delay);
+  return response;
 }
 
 void RateAllocator::TakeUnused(const std::string& workspace, State* state,
@@ -197,35 +203,36 @@
   for (const TokenPool::Batch& ended : state->pool.TakeExpired(now)) {
     entries->push_back({workspace, -ended.tokens, ended.origin});
   }
-  for (const RateEntry& told : std::exchange(state->unused, {})) {
-    entries->push_back(told);
+  for (const RateEntry& unused_entry : std::exchange(state->unused, {})) {
+    entries->push_back(unused_entry);
   }
 }
 
-std::int64_t RateAllocator::Lacking(const std::string& workspace, State* state,
-                                    const RateLimit& limit, Duration pause,
-                                    Time now) const {
+std::int64_t RateAllocator::TokensToClaim(const std::string& workspace,
+                                          State* state, const RateLimit& limit,
+                                          Duration delay, Time now) const {
   const auto   pool = static_cast<double>(state->pool.Available(now));
   const double ahead = state->demand.PerSecond(now) *
-                       (kAhead + static_cast<double>(pause)) / kMillisPerSecond;
-  // Half of it is left: the next claim is in time.
+                       (kClaimAhead + static_cast<double>(delay)) /
+                       kMillisPerSecond;
+  // At half of the target, the next claim is still in time.
   if (pool >= 1 && pool > ahead / 2) return 0;
-  const double wish = std::max(1.0, std::ceil(ahead - pool)) +
-                      static_cast<double>(Extra(workspace, limit, now));
+  const double wanted = std::max(1.0, std::ceil(ahead - pool)) +
+                        static_cast<double>(ExtraTokens(workspace, limit, now));
   return static_cast<std::int64_t>(
-      std::floor(std::min(m_ledger.Remaining(workspace, now), wish)));
+      std::floor(std::min(m_ledger.Remaining(workspace, now), wanted)));
 }
 
-std::vector<RateEntry> RateAllocator::NextClaim(Duration pause, Time now) {
+std::vector<RateEntry> RateAllocator::NextClaim(Duration delay, Time now) {
   std::vector<RateEntry> claims;
-  // First, so that what is given back is there for the claims behind it.
+  // Releases come first, so that the claims can use the released tokens.
   std::vector<RateEntry> entries;
-  for (const std::string& workspace : std::exchange(m_due, {})) {
+  for (const std::string& workspace : std::exchange(m_claims_due, {})) {
     const auto limit = m_limit_of(workspace);
     if (!limit) continue;
     State& state = StateOf(workspace);
     TakeUnused(workspace, &state, now, &entries);
-    const auto tokens = Lacking(workspace, &state, *limit, pause, now);
+    const auto tokens = TokensToClaim(workspace, &state, *limit, delay, now);
     if (tokens >= 1) claims.push_back({workspace, tokens, -1});
   }
   entries.insert(entries.end(), claims.begin(), claims.end());
@@ -244,10 +251,10 @@
   const Time until = sent + kRateTokenLifetime;
   for (const RateEntry& entry : claim.record.entries) {
     if (entry.tokens < 0 || !m_limit_of(entry.workspace)) continue;
-    const double lacking =
+    const double excess =
         std::max(0.0, -m_ledger.Remaining(entry.workspace, now));
     const auto granted =
-        entry.tokens - static_cast<std::int64_t>(std::ceil(lacking));
+        entry.tokens - static_cast<std::int64_t>(std::ceil(excess));
     StateOf(entry.workspace).pool.Add({granted, until, claim.offset});
   }
 }
@@ -255,25 +262,25 @@
 void RateAllocator::Sweep(Time now) {
   m_ledger.Sweep(now);
   for (auto& [workspace, state] : m_states) {
-    state.programs.Sweep(now, now - state.refused_at > kWholeAfter);
+    state.programs.Sweep(now, now - state.refused_at > kUnthrottledAfter);
   }
   std::erase_if(m_states, [now](const auto& entry) {
-    return now - entry.second.used > kStateMemory;
+    return now - entry.second.last_used > kIdleStateLifetime;
   });
 }
 
 std::vector<RateAllocator::RefusalReport> RateAllocator::TakeRefusalReports(
     Time now) {
-  std::vector<RefusalReport> uses;
+  std::vector<RefusalReport> reports;
   for (auto& [workspace, state] : m_states) {
     const auto limit = m_limit_of(workspace);
-    if (!limit || state.turned_away == 0) continue;
-    uses.push_back(
+    if (!limit || state.refused_count == 0) continue;
+    reports.push_back(
         {workspace, state.demand.PerSecond(now), Allowance(*limit, m_window),
          m_ledger.Remaining(workspace, now), state.pool.Available(now),
-         m_typical, std::exchange(state.turned_away, 0)});
+         m_typical_need, std::exchange(state.refused_count, 0)});
   }
-  return uses;
+  return reports;
 }
 
 }  // namespace yuccawick::workspaces
--- a/src/yuccawick/workspaces/rate_allocator.h
+++ b/src/yuccawick/workspaces/rate_allocator.h
@@ -1,20 +1,18 @@
-// What a node decides for the workspaces whose tokens it grants to all nodes.
+// Decides how many request tokens to grant for the workspaces that this node
+// coordinates, and which new programs may start.
 //
-// Load pattern: one workspace sends many times what it may, for seconds, beside
-// others that keep to their limits. Programs are worth something only whole, so
-// turning away requests at random would stop nearly all of its programs midway
-// and waste what their turns cost. Tokens go to programs under way first; while
-// they are scarce a program begins only as fast as the rate holds all requests
-// that one needs, by what is observed here. The others are told when one will
-// have room, each another time.
+// When a workspace exceeds its limit, refusing requests at random would cut off
+// most of its programs midway and waste the work already done. Running programs
+// therefore receive tokens first. While tokens are scarce, a new program starts
+// only if the rate covers its typical need; the others are given different
+// retry delays.
 //
-//   Submit()      a node asks; what it wants is counted, and which programs
-//                 may begin is settled
-//   TryRespond()  what it gets now; nothing: wait for the next claim
-//   NextClaim()   what to claim in the log; nothing: enough is at hand
-//   OnGranted()   the log has the claim
+//   Submit()      registers a node's request and decides which programs start
+//   TryRespond()  returns the grant; nullopt: wait for the next claim
+//   NextClaim()   returns what to claim in the log; empty: enough is available
+//   OnGranted()   adds the tokens of a claim that was written to the log
 //
-// No clock, socket or log in here; gateway/rate_coordinator.h carries it out.
+// Uses no clock, socket or log; gateway/rate_coordinator.h drives it.
 #pragma once
 
 #include <cstdint>
@@ -30,7 +28,7 @@
 
 using ProgramHash = std::uint64_t;
 
-// What a node asks for one workspace.
+// A node's request for one workspace.
 struct RateRequest {
   struct Step {
     ProgramHash  program = 0;
@@ -38,55 +36,55 @@
   };
 
   std::string workspace;
-  int         want = 0;  // for programs that the node knows, a little ahead
-  // Requests that wait, by programs that the node does not know.
+  int         want = 0;  // tokens for known programs, with a small reserve
+  // Programs that the node does not know, one entry for each waiting request.
   std::vector<ProgramHash> waiting;
-  // What programs took since the last question.
+  // Tokens used by programs since the last request.
   std::vector<Step>        steps;
-  // Tokens that ended unused.
+  // Tokens that expired unused.
   std::vector<RateEntry>   unused;
 };
 
 struct RateResponse {
-  bool unsure = false;  // nothing can be granted or refused now
-  int  tokens = 0;
-  std::vector<ProgramHash> may_go_on;  // programs of those that wait
-  std::int64_t origin = -1;      // of the tokens, to tell what ends unused
-  Duration     valid = 0;        // ms, of the tokens, from when it was asked
-  Duration     retry_delay = 0;  // ms until there may be a token
-  Duration     new_program_retry_delay = 0;  // ms until a program may begin
-  bool         scarce = false;               // ask before any program begins
-  bool         plenty = false;  // ask ahead of need: nobody else lacks tokens
+  bool                     unsure = false;  // cannot grant or refuse at present
+  int                      tokens = 0;
+  std::vector<ProgramHash> may_go_on;    // waiting programs that may run
+  std::int64_t             origin = -1;  // log offset of the tokens' claim
+  Duration valid = 0;        // lifetime of the tokens from the request, in ms
+  Duration retry_delay = 0;  // ms until a token may be available
+  Duration new_program_retry_delay = 0;  // ms until a program may start
+  bool     scarce = false;               // ask before starting any program
+  bool     plenty = false;  // tokens may be requested ahead of need
 };
 
-// Programs under way, what they took, and what they will most likely need.
+// Tracks running programs and estimates the tokens they still need.
 //
-// A limit holds a new program if what will be left of it within the next second
-// covers what those under way still need, and the new one whole.
+// A new program fits if the tokens available in the near future cover the
+// remaining need of running programs and the whole need of the new one.
 class ProgramDemand {
  public:
-  // `typical`: requests that a program needs; shared by all workspaces of a
-  // home, since few programs of a small one end.
-  explicit ProgramDemand(double* typical) : m_typical(typical) {}
+  // `typical_need`: requests per program, as a moving average. Shared by all
+  // workspaces, because small ones finish too few programs to learn from.
+  explicit ProgramDemand(double* typical_need) : m_typical_need(typical_need) {}
 
   bool Knows(ProgramHash program) const { return m_programs.contains(program); }
-  // The program took so many tokens; 0: it begins.
+  // Records that the program used `taken` tokens; 0 when it starts.
   void Observe(ProgramHash program, std::int64_t taken, Time now);
-  // Tokens that those under way still need.
+  // Estimated tokens that running programs still need.
   double Committed(Time now);
-  // Forgets those that have ended. `whole`: none was refused a token lately,
-  // so that what they took is what they needed.
-  void   Sweep(Time now, bool whole);
+  // Drops finished programs. `unthrottled`: no token was refused recently, so
+  // the usage of these programs reflects their need and is learned from.
+  void   Sweep(Time now, bool unthrottled);
 
  private:
   struct Program {
-    Time         seen = 0;
+    Time         last_seen = 0;
     std::int64_t taken = 0;
   };
-  double*                                  m_typical;
+  double*                                  m_typical_need;
   std::unordered_map<ProgramHash, Program> m_programs;
-  double                                   m_committed = 0;  // as of then
-  Time                                     m_committed_at = -1;
+  double m_committed = 0;  // as of m_committed_at
+  Time   m_committed_at = -1;
 };
 
 class RateAllocator {
@@ -97,79 +95,81 @@
 
   RateLedger& ledger() { return m_ledger; }
 
-  // A question whose programs were settled.
+  // A request after its new programs were admitted or refused.
   struct SubmittedRequest {
     std::string              workspace;
     int                      need = 0;  // tokens
     std::vector<ProgramHash> may_go_on;
-    bool                     refused = false;  // some programs
+    bool                     refused = false;  // some program was refused
   };
-  SubmittedRequest            Submit(const RateRequest& ask, Time now);
-  std::optional<RateResponse> TryRespond(const SubmittedRequest& entered,
+  SubmittedRequest            Submit(const RateRequest& request, Time now);
+  std::optional<RateResponse> TryRespond(const SubmittedRequest& submitted,
                                          Time                    now);
-  // Entries of the next claim; none: enough is at hand.
-  // `pause`: ms until there can be another.
-  std::vector<RateEntry>      NextClaim(Duration pause, Time now);
-  // Entries that give back what ended unused. Call now and then: a claim does
-  // it for the workspaces that it is for.
+  // Returns the entries of the next claim; empty if enough tokens are
+  // available. `delay`: ms until another claim can be written.
+  std::vector<RateEntry>      NextClaim(Duration delay, Time now);
+  // Returns entries that release unused tokens of all workspaces. Call
+  // periodically: NextClaim() covers only the workspaces it claims for.
   std::vector<RateEntry>      NextReleases(Time now);
-  // `claim` was taken by the ledger just now. What it took beyond what was
-  // there is not granted.
+  // Call right after the ledger applied `claim`. Tokens beyond the allowance
+  // are not granted.
   void OnGranted(const LoggedRate& claim, Time sent, Time now);
   void Sweep(Time now);
 
-  // For operators: a workspace of which something was turned away.
+  // Usage of a workspace that had refusals, for log lines to operators.
   struct RefusalReport {
     std::string  workspace;
     double       asked_per_second = 0;
-    double       allowance = 0;  // of a window
-    double       left = 0;       // that may still be claimed
+    double       allowance = 0;  // tokens per window
+    double       left = 0;       // may still be claimed
     std::int64_t pool = 0;       // claimed and not handed out
-    double       need = 0;       // requests that a program takes
+    double       need = 0;       // requests per program
     std::int64_t refused = 0;
   };
-  // Those since the last call.
+  // Returns the reports since the last call.
   std::vector<RefusalReport> TakeRefusalReports(Time now);
 
  private:
   struct State {
-    explicit State(double* typical) : programs(typical) {}
+    explicit State(double* typical_need) : programs(typical_need) {}
     TokenPool              pool;
-    RateMeter              demand{kDemandMemory};
+    RateMeter              demand{kDemandDecayTime};
     ProgramDemand          programs;
-    std::vector<RateEntry> unused;           // to be given back
-    Time                   next_return = 0;  // of a program turned away
-    Time                   refused_at = 0;   // a token, last
-    std::int64_t           turned_away = 0;
-    Time                   used = 0;
+    std::vector<RateEntry> unused;   // to be released
+    Time         next_retry_at = 0;  // when the next refused program may retry
+    Time         refused_at = 0;     // last refusal of a token
+    std::int64_t refused_count = 0;
+    Time         last_used = 0;
   };
-  State&       StateOf(const std::string& workspace);
-  // Requests a second that the limit allows in the long run.
-  double       LongRun(const RateLimit& limit) const;
-  bool         IsScarce(const std::string& workspace, const RateLimit& limit,
-                        Time now) const;
-  // What the limit will hold beside what programs under way need.
-  double       Free(const std::string& workspace, State* state, Time now) const;
-  // When the next program that is turned away should come back, in ms.
-  Duration     NextReturn(State* state, const RateLimit& limit, Time now) const;
+  State&   StateOf(const std::string& workspace);
+  // Sustained rate of the limit, in requests per second.
+  double   SustainedRate(const RateLimit& limit) const;
+  bool     IsScarce(const std::string& workspace, const RateLimit& limit,
+                    Time now) const;
+  // Tokens available in the near future beyond the need of running programs.
+  double   UncommittedTokens(const std::string& workspace, State* state,
+                             Time now) const;
+  // Retry delay in ms for the next refused program.
+  Duration NextRetryDelay(State* state, const RateLimit& limit, Time now) const;
   static void  TakeUnused(const std::string& workspace, State* state, Time now,
                           std::vector<RateEntry>* entries);
-  // Tokens to claim: for who waits, and what is asked for soon.
-  std::int64_t Lacking(const std::string& workspace, State* state,
-                       const RateLimit& limit, Duration pause, Time now) const;
-  // Tokens that a node gets beyond what it asked for.
-  std::int64_t Extra(const std::string& workspace, const RateLimit& limit,
-                     Time now) const;
+  // Tokens to claim for waiting requests and expected demand.
+  std::int64_t TokensToClaim(const std::string& workspace, State* state,
+                             const RateLimit& limit, Duration delay,
+                             Time now) const;
+  // Tokens granted to a node beyond its request.
+  std::int64_t ExtraTokens(const std::string& workspace, const RateLimit& limit,
+                           Time now) const;
   RateLedger::LimitLookup                m_limit_of;
   RateWindow                             m_window;
   RateLedger                             m_ledger;
   std::unordered_map<std::string, State> m_states;  // by workspace
-  std::set<std::string>                  m_due;     // may need a claim
-  double m_typical = kFirstTypical;  // requests that a program needs
+  std::set<std::string> m_claims_due;  // workspaces that may need a claim
+  double m_typical_need = kInitialTypicalNeed;  // requests per program
 
-  static constexpr Duration kDemandMemory = 500;  // ms
-  // Until programs have ended here.
-  static constexpr double   kFirstTypical = 20;
+  static constexpr Duration kDemandDecayTime = 500;  // ms
+  // Used until the first programs have ended.
+  static constexpr double   kInitialTypicalNeed = 20;
 };
 
 }  // namespace yuccawick::workspaces
--- a/src/yuccawick/workspaces/rate_ledger.cc
+++ b/src/yuccawick/workspaces/rate_ledger.cc
@@ -7,30 +7,33 @@
 namespace {
 
 constexpr double   kMillisPerSecond = 1000.0;
+// Used share of the excess that the operator tolerates.
 constexpr double   kToleranceShare = 0.75;
-// Claims so close together, in ms, are counted as one, for as long as the last.
-constexpr Duration kSlot = 50;
+// Claims of a node within this time, in ms, are merged and count as long as the
+// last of them.
+constexpr Duration kMergeInterval = 50;
 
 }  // namespace
 
 double Allowance(const RateLimit& limit, const RateWindow& window) {
   const double length = static_cast<double>(window.length) / kMillisPerSecond;
-  const double limited = limit.per_second * length + limit.burst;
-  return limited + kToleranceShare * (window.overage * limited + window.slack);
+  const double limit_total = limit.per_second * length + limit.burst;
+  return limit_total +
+         kToleranceShare * (window.overage * limit_total + window.slack);
 }
 
 std::vector<Duration> MinAges(const std::vector<LoggedRate>& claims) {
-  // When each claim was acknowledged, as its claimer's next one tells.
+  // Acknowledgement time of each claim, taken from the claimer's next claim.
   std::unordered_map<std::int64_t, Time> acked;
   for (const LoggedRate& claim : claims) {
     acked.emplace(claim.record.previous, claim.record.previous_acked);
   }
-  // By claimer: what its clock showed at the end, at least.
+  // By claimer: minimum reading of its clock when the last claim was written.
   std::unordered_map<std::string, Time> ends;
   std::vector<Duration>                 ages(claims.size(), 0);
   for (std::size_t i = claims.size(); i-- > 0;) {
     const RateRecord& record = claims[i].record;
-    // Whatever lies before is not younger.
+    // Earlier claims are at least as old as later ones.
     if (i + 1 < claims.size()) ages[i] = ages[i + 1];
     const auto end = ends.find(record.node);
     const auto ack = acked.find(claims[i].offset);
@@ -44,25 +47,25 @@
   return ages;
 }
 
-void RateLedger::GiveBack(Claims* claims, const std::string& node,
-                          const RateEntry& entry) {
+void RateLedger::ReleaseTokens(Claims* claims, const std::string& node,
+                               const RateEntry& entry) {
   std::int64_t tokens = -entry.tokens;
-  for (Claimed& claimed : *claims) {
-    if (claimed.node != node || claimed.offset > entry.origin) continue;
-    const std::int64_t less = std::min(tokens, claimed.tokens);
-    claimed.tokens -= less;
-    tokens -= less;
+  for (ActiveClaim& active : *claims) {
+    if (active.node != node || active.offset > entry.origin) continue;
+    const std::int64_t released = std::min(tokens, active.tokens);
+    active.tokens -= released;
+    tokens -= released;
   }
 }
 
-void RateLedger::Count(const LoggedRate& claim, Time until) {
+void RateLedger::AddClaim(const LoggedRate& claim, Time until) {
   const std::string& node = claim.record.node;
   for (const RateEntry& entry : claim.record.entries) {
     Claims& claims = m_claims[entry.workspace];
     if (entry.tokens < 0) {
-      GiveBack(&claims, node, entry);
+      ReleaseTokens(&claims, node, entry);
     } else if (!claims.empty() && claims.back().node == node &&
-               until - claims.back().first <= kSlot) {
+               until - claims.back().first_until <= kMergeInterval) {
       claims.back().until = std::max(claims.back().until, until);
       claims.back().offset = claim.offset;
       claims.back().tokens += entry.tokens;
@@ -76,39 +79,39 @@
   m_claims.clear();
   const auto ages = MinAges(before);
   for (std::size_t i = 0; i < before.size(); ++i) {
-    if (ages[i] < Span()) Count(before[i], now - ages[i] + Span());
+    if (ages[i] < Span()) AddClaim(before[i], now - ages[i] + Span());
   }
 }
 
 void RateLedger::Apply(const LoggedRate& claim, Time now) {
-  Count(claim, now + Span());
+  AddClaim(claim, now + Span());
 }
 
-double RateLedger::AllowanceOf(const std::string& workspace) const {
+double RateLedger::AllowanceFor(const std::string& workspace) const {
   const auto limit = m_limit_of(workspace);
   return limit ? Allowance(*limit, m_window) : 0;
 }
 
 double RateLedger::Remaining(const std::string& workspace, Time now) const {
-  double     left = AllowanceOf(workspace);
+  double     remaining = AllowanceFor(workspace);
   const auto found = m_claims.find(workspace);
-  if (found == m_claims.end()) return left;
-  for (const Claimed& claimed : found->second) {
-    if (claimed.until > now) left -= static_cast<double>(claimed.tokens);
+  if (found == m_claims.end()) return remaining;
+  for (const ActiveClaim& active : found->second) {
+    if (active.until > now) remaining -= static_cast<double>(active.tokens);
   }
-  return left;
+  return remaining;
 }
 
 std::optional<Duration> RateLedger::TimeUntilRemaining(
     const std::string& workspace, double tokens, Time now) const {
-  double left = Remaining(workspace, now);
-  if (left >= tokens) return 0;
+  double remaining = Remaining(workspace, now);
+  if (remaining >= tokens) return 0;
   const auto found = m_claims.find(workspace);
   if (found == m_claims.end()) return std::nullopt;
-  for (const Claimed& claimed : found->second) {
-    if (claimed.until <= now) continue;
-    left += static_cast<double>(claimed.tokens);
-    if (left >= tokens) return claimed.until - now;
+  for (const ActiveClaim& active : found->second) {
+    if (active.until <= now) continue;
+    remaining += static_cast<double>(active.tokens);
+    if (remaining >= tokens) return active.until - now;
   }
   return std::nullopt;
 }
--- a/src/yuccawick/workspaces/rate_ledger.h
+++ b/src/yuccawick/workspaces/rate_ledger.h
@@ -1,31 +1,25 @@
-// How many requests each workspace may still send, over all nodes, by the order
-// of claims in the platform's log.
+// Enforces each workspace's request limit across all nodes, by the order of
+// claims in the log.
 //
-// An operator's limit is a count in a sliding window: in no window may there be
-// more than rate times its length, and the burst. Whoever wants to grant tokens
-// appends a claim to the log, then counts all claims that lie before its own
-// and that it heard of within the window, and grants what is left. So no node
-// is needed whose word decides, no lease and no hand-over, and no two clocks
-// are compared:
+// The operator's limit is a sliding window: no window may contain more than
+// rate * length + burst requests. A node appends a claim to the log, subtracts
+// all claims before its own that it received within the window, and grants the
+// remainder. No leases or synchronized clocks are needed:
 //
-//   - Two nodes that both grant, because they see different members, see each
-//     other's claims in the log; together they stay within the limit.
-//   - A claim that is heard of late, or was lost by its claimer, is counted
-//   from
-//     when it was heard of, and so for longer than it has to be: what is
-//     granted meanwhile is less, never more.
-//   - What a claimer did not use it gives back by a claim below 0 that names
-//     the one it came from. It is taken off that one or earlier ones of the
-//     same claimer, so nothing is counted for too short a time.
-//   - A node that begins reads back what was claimed within a window. A claim
-//     tells, on its claimer's clock, when it was sent and when the one before
-//     it was acknowledged; the time from that one's acknowledgement to the last
-//     that its claimer sent is the least that has passed since. So after a
-//     restart of all nodes nobody waits for a window to pass.
+// - Two nodes that coordinate the same workspace see each other's claims in the
+//   log, so together they stay within the limit.
+// - A claim counts from when it was received. If that is late, or the claimer
+//   lost its reply, the claim counts longer than necessary; less is granted,
+//   never more.
+// - Unused tokens are released by a negative entry that names the claim they
+//   came from. It reduces that claim or earlier ones of the same node.
+// - A node that starts reads the claims of the last window. Each claim carries
+//   its send time and the acknowledgement time of the previous one on the
+//   claimer's clock; their differences give the minimum age of each claim, so a
+//   full restart does not block requests for a whole window.
 //
-// Tokens are good for kRateTokenLifetime from when their claim was sent. What
-// is used within a window was claimed within it or that long before, so that
-// claims are counted for that much longer.
+// Tokens are valid for kRateTokenLifetime after their claim was sent, so claims
+// count for the window and that time.
 #pragma once
 
 #include <cstdint>
@@ -44,48 +38,48 @@
 using net::Duration;
 using net::Time;
 
-// For how long a token may be held, in ms: a home claims for what it expects
-// within some calls of the log, and a node asks for the next few requests.
+// Lifetime of a token, in ms. Covers a few log writes by the coordinator and
+// the next few requests of a node.
 inline constexpr Duration kRateTokenLifetime = 1000;
 
-// How the operator measures limits.
+// The window over which the operator measures limits.
 struct RateWindow {
   Duration length = 5000;  // ms
-  // What a window may hold beyond its limit before that counts as broken, as a
-  // share of the limit and in requests on top.
+  // Excess that the operator tolerates: a share of the limit plus a number of
+  // requests.
   double   overage = 0;
   double   slack = 0;
 };
 
-// Requests that may be claimed within a window and kRateTokenLifetime. Most of
-// what is tolerated is used: one program of a small workspace is as much as its
-// limit. The rest is for requests that are sent twice.
+// Requests that may be claimed within a window and kRateTokenLifetime. Uses
+// a large part of the tolerated excess, because one program may use a small
+// workspace's whole limit. The rest covers requests that are sent twice.
 double Allowance(const RateLimit& limit, const RateWindow& window);
 
 struct RateEntry {
   std::string  workspace;
-  std::int64_t tokens = 0;   // below 0: given back
-  std::int64_t origin = -1;  // offset of the claim that it came from
+  std::int64_t tokens = 0;   // negative: released
+  std::int64_t origin = -1;  // log offset of the claim the tokens came from
 };
 
-// One claim, for some workspaces.
+// One claim, for one or more workspaces.
 struct RateRecord {
-  std::string            node;           // incarnation of the claimer
-  std::int64_t           previous = -1;  // offset of its claim before; -1: none
-  // Both on the claimer's own clock, in ms.
-  Time                   sent = 0;
-  Time                   previous_acked = 0;
+  std::string  node;           // incarnation of the claimer
+  std::int64_t previous = -1;  // log offset of its previous claim; -1: none
+  // Times on the claimer's clock, in ms.
+  Time         sent = 0;
+  Time         previous_acked = 0;
   std::vector<RateEntry> entries;
 };
 
-// A claim as it lies in the log.
+// A claim with its log offset.
 struct LoggedRate {
   std::int64_t offset = 0;
   RateRecord   record;
 };
 
-// For each of these claims, in the log's order, the least time in ms that has
-// passed between it and the last one.
+// Returns, for each claim in log order, the minimum time in ms that has passed
+// between it and the last one.
 std::vector<Duration> MinAges(const std::vector<LoggedRate>& claims);
 
 class RateLedger {
@@ -95,13 +89,14 @@
   RateLedger(LimitLookup limit_of, const RateWindow& window)
       : m_limit_of(std::move(limit_of)), m_window(window) {}
 
-  // Forgets everything, and counts what was claimed before.
+  // Resets the ledger to the claims already in the log.
   void   Begin(const std::vector<LoggedRate>& before, Time now);
-  // The next record of the log.
+  // Applies the next claim of the log.
   void   Apply(const LoggedRate& claim, Time now);
-  // Below 0: more was claimed than may be. Without a limit: 0.
+  // Tokens that may still be claimed; negative if too many were claimed, 0 for
+  // a workspace without a limit.
   double Remaining(const std::string& workspace, Time now) const;
-  // Until so many are left, in ms; nothing: never.
+  // Time in ms until `tokens` may be claimed; nullopt: never.
   std::optional<Duration> TimeUntilRemaining(const std::string& workspace,
                                              double tokens, Time now) const;
   // How long a claim counts, in ms.
@@ -109,18 +104,19 @@
   void     Sweep(Time now);
 
  private:
-  struct Claimed {
-    Time         until = 0;    // counts before this
-    Time         first = 0;    // the same of the earliest that it stands for
-    std::string  node;         // the claimer's incarnation
-    std::int64_t offset = -1;  // of the last that it stands for
+  // One claim, or several merged claims of one node.
+  struct ActiveClaim {
+    Time         until = 0;        // counts before this time
+    Time         first_until = 0;  // `until` of the earliest merged claim
+    std::string  node;             // claimer's incarnation
+    std::int64_t offset = -1;      // log offset of the latest merged claim
     std::int64_t tokens = 0;
   };
-  using Claims = std::deque<Claimed>;  // by time
-  void        Count(const LoggedRate& claim, Time until);
-  static void GiveBack(Claims* claims, const std::string& node,
-                       const RateEntry& entry);
-  double      AllowanceOf(const std::string& workspace) const;
+  using Claims = std::deque<ActiveClaim>;  // by time
+  void        AddClaim(const LoggedRate& claim, Time until);
+  static void ReleaseTokens(Claims* claims, const std::string& node,
+                            const RateEntry& entry);
+  double      AllowanceFor(const std::string& workspace) const;
 
   LimitLookup                             m_limit_of;
   RateWindow                              m_window;
--- a/src/yuccawick/workspaces/token_pool.cc
+++ b/src/yuccawick/workspaces/token_pool.cc
@@ -8,7 +8,7 @@
 
 void TokenPool::Expire(Time now) {
   while (!m_batches.empty() && m_batches.front().until <= now) {
-    m_ended.push_back(m_batches.front());
+    m_expired.push_back(m_batches.front());
     m_batches.pop_front();
   }
 }
@@ -21,11 +21,12 @@
   m_batches.insert(after, batch);
 }
 
-TokenPool::Batch TokenPool::TakeUpTo(std::int64_t most, Time now) {
+TokenPool::Batch TokenPool::TakeUpTo(std::int64_t max_tokens, Time now) {
   Expire(now);
   if (m_batches.empty()) return {};
   Batch&      first = m_batches.front();
-  const Batch taken{std::min(most, first.tokens), first.until, first.origin};
+  const Batch taken{std::min(max_tokens, first.tokens), first.until,
+                    first.origin};
   first.tokens -= taken.tokens;
   if (first.tokens == 0) m_batches.pop_front();
   return taken;
@@ -33,7 +34,7 @@
 
 std::vector<TokenPool::Batch> TokenPool::TakeExpired(Time now) {
   Expire(now);
-  return std::exchange(m_ended, {});
+  return std::exchange(m_expired, {});
 }
 
 std::int64_t TokenPool::Available(Time now) {
@@ -45,16 +46,16 @@
 
 void RateMeter::Count(double events, Time now) {
   const double age = static_cast<double>(now - m_at);
-  m_events *= std::exp(-age / static_cast<double>(m_memory));
+  m_events *= std::exp(-age / static_cast<double>(m_decay_time));
   m_events += events;
   m_at = now;
 }
 
 double RateMeter::PerSecond(Time now) const {
   constexpr double kMillisPerSecond = 1000.0;
-  const double     memory = static_cast<double>(m_memory);
+  const double     decay_time = static_cast<double>(m_decay_time);
   const double     age = static_cast<double>(now - m_at);
-  return m_events * std::exp(-age / memory) * kMillisPerSecond / memory;
+  return m_events * std::exp(-age / decay_time) * kMillisPerSecond / decay_time;
 }
 
 }  // namespace yuccawick::workspaces
--- a/src/yuccawick/workspaces/token_pool.h
+++ b/src/yuccawick/workspaces/token_pool.h
@@ -1,8 +1,8 @@
-// Tokens at hand, each good until a time, and how many are asked for.
+// Pool of request tokens with expiry times, and a meter of their use.
 //
-// A token lets one request of a workspace go to a backend server. Whoever holds
-// tokens loses those that it does not use in time: were they good for ever, a
-// node could save up many and send them all within one window of the limit.
+// A token allows one request of a workspace to be sent to a backend server.
+// Tokens expire so that a node cannot accumulate them and send a burst within
+// one window of the limit.
 #pragma once
 
 #include <cstdint>
@@ -20,37 +20,37 @@
  public:
   struct Batch {
     std::int64_t tokens = 0;
-    Time         until = 0;    // good before this
-    std::int64_t origin = -1;  // offset of the claim in the log
+    Time         until = 0;    // valid before this time
+    std::int64_t origin = -1;  // log offset of the claim
   };
 
   void               Add(const Batch& batch);
-  // One token; false: there is none.
+  // Takes one token; returns false if there is none.
   bool               Take(Time now) { return TakeUpTo(1, now).tokens == 1; }
-  // Up to so many, all good until the same time; those that end first.
-  Batch              TakeUpTo(std::int64_t most, Time now);
+  // Takes up to `max_tokens` tokens of the batch that expires first.
+  Batch              TakeUpTo(std::int64_t max_tokens, Time now);
   std::int64_t       Available(Time now);
-  // Those that ended unused since the last call.
+  // Returns tokens that expired unused since the last call.
   std::vector<Batch> TakeExpired(Time now);
 
  private:
   void Expire(Time now);
 
-  std::deque<Batch>  m_batches;  // by time
-  std::vector<Batch> m_ended;
+  std::deque<Batch>  m_batches;  // by expiry time
+  std::vector<Batch> m_expired;
 };
 
-// Events a second, older ones count less.
+// Events per second, as an exponentially decaying average.
 class RateMeter {
  public:
-  // `memory`: ms after which an event counts about a third.
-  explicit RateMeter(Duration memory) : m_memory(memory) {}
+  // `decay_time`: time constant of the decay, in ms.
+  explicit RateMeter(Duration decay_time) : m_decay_time(decay_time) {}
   void   Count(double events, Time now);
   double PerSecond(Time now) const;
 
  private:
-  Duration m_memory;
-  double   m_events = 0;  // weighted, as of m_at
+  Duration m_decay_time;
+  double   m_events = 0;  // decayed count as of m_at
   Time     m_at = 0;
 };
 
--- a/src/yuccawick/workspaces/workspace.cc
+++ b/src/yuccawick/workspaces/workspace.cc
@@ -8,16 +8,16 @@
 namespace yuccawick::workspaces {
 namespace {
 
-constexpr char kScopeEnd = '\n';
-constexpr char kLastControl = 0x1f;
+constexpr char kScopeSeparator = '\n';
+constexpr char kLastControlChar = 0x1f;
 
-bool IsName(std::string_view name) {
+bool IsValidName(std::string_view name) {
   return !name.empty() && std::none_of(name.begin(), name.end(), [](char c) {
-    return c >= 0 && c <= kLastControl;
+    return c >= 0 && c <= kLastControlChar;
   });
 }
 
-bool IsLimit(const RateLimit& limit) {
+bool IsValidLimit(const RateLimit& limit) {
   return std::isfinite(limit.per_second) && limit.per_second >= 0 &&
          std::isfinite(limit.burst) && limit.burst >= 0;
 }
@@ -36,44 +36,44 @@
   table.m_workspaces = std::move(workspaces);
   for (std::size_t i = 0; i < table.m_workspaces.size(); ++i) {
     const Workspace& workspace = table.m_workspaces[i];
-    const auto       refused = [&workspace](WorkspaceFault fault) {
+    const auto       reject = [&workspace](WorkspaceFault fault) {
       return tl::unexpected(WorkspaceError{fault, workspace.name});
     };
-    if (!IsName(workspace.name)) return refused(WorkspaceFault::kName);
+    if (!IsValidName(workspace.name)) return reject(WorkspaceFault::kName);
     if (!table.m_by_name.emplace(workspace.name, i).second) {
-      return refused(WorkspaceFault::kSameName);
+      return reject(WorkspaceFault::kSameName);
     }
-    if (workspace.limit && !IsLimit(*workspace.limit)) {
-      return refused(WorkspaceFault::kRate);
+    if (workspace.limit && !IsValidLimit(*workspace.limit)) {
+      return reject(WorkspaceFault::kRate);
     }
     for (const std::string& key : workspace.keys) {
       const auto [entry, added] = table.m_by_key.emplace(key, i);
-      // The same workspace may list a key twice.
+      // A workspace may list the same key twice.
       if (key.empty() || entry->second != i) {
-        return refused(WorkspaceFault::kSharedKey);
+        return reject(WorkspaceFault::kSharedKey);
       }
     }
   }
   return table;
 }
 
-const Workspace* WorkspaceTable::At(const Index&     index,
-                                    std::string_view text) const {
+const Workspace* WorkspaceTable::Lookup(const Index&     index,
+                                        std::string_view text) const {
   const auto found = index.find(text);
   return found == index.end() ? nullptr : &m_workspaces[found->second];
 }
 
 const Workspace* WorkspaceTable::FindByKey(std::string_view key) const {
-  return At(m_by_key, key);
+  return Lookup(m_by_key, key);
 }
 
 const Workspace* WorkspaceTable::Find(std::string_view name) const {
-  return At(m_by_name, name);
+  return Lookup(m_by_name, name);
 }
 
 std::string Scoped(const Workspace* workspace, const std::string& id) {
   if (workspace == nullptr || id.empty()) return id;
-  return workspace->name + kScopeEnd + id;
+  return workspace->name + kScopeSeparator + id;
 }
 
 }  // namespace yuccawick::workspaces
--- a/src/yuccawick/workspaces/workspace.h
+++ b/src/yuccawick/workspaces/workspace.h
@@ -1,19 +1,17 @@
-// Workspaces: who a request belongs to, by its API key.
+// Maps API keys to workspaces.
 //
-// A manifest lists workspaces with their keys. WorkspaceTable holds the list of
-// one version, finds the workspace of a key in constant time, and is never
-// changed after it was built:
+// WorkspaceTable holds the workspaces of one manifest version. It is immutable
+// and finds the workspace of a key in constant time:
 //
 //   auto table = WorkspaceTable::Build(std::move(workspaces));
-//   if (!table) refuse the manifest; table.error() says why, without a key
+//   if (!table) reject the manifest; table.error() never contains a key
 //   const Workspace* owner = table->FindByKey(key);  // nullptr: unknown key
 //
-// What a workspace's programs name (programs, lines, turns) is theirs alone:
-// Scoped() puts the workspace before an id, so that the same id in two
-// workspaces is two, and no id reaches what belongs to another.
+// Ids of programs, sessions and turns are private to their workspace: Scoped()
+// prefixes an id with the workspace's name, so equal ids in two workspaces
+// never refer to the same object.
 //
-// A key is a secret. Nothing here or elsewhere writes one to a log, a metric,
-// an answer or an error.
+// Keys are secrets and must not appear in logs, metrics, responses or errors.
 #pragma once
 
 #include <cstdint>
@@ -26,10 +24,10 @@
 
 namespace yuccawick::workspaces {
 
-// How many requests a workspace may send to backend servers, over all nodes.
+// Request rate to backend servers, over all nodes.
 struct RateLimit {
   double per_second = 0;
-  double burst = 0;  // requests on top, after a time with fewer
+  double burst = 0;  // additional requests after a period of lower use
 
   bool operator==(const RateLimit&) const = default;
 };
@@ -37,36 +35,36 @@
 struct Workspace {
   std::string              name;
   std::vector<std::string> keys;
-  std::optional<int>       priority;  // goes before the route's; 0 is first
-  std::optional<RateLimit> limit;     // nothing: none
+  std::optional<int> priority;  // overrides the route's priority; 0 is highest
+  std::optional<RateLimit> limit;  // nullopt: unlimited
 };
 
 enum class WorkspaceFault : std::uint8_t {
-  kName,       // empty, or with a control character
-  kSameName,   // two workspaces of one name
-  kSharedKey,  // a key at two workspaces, or an empty one
-  kRate,       // a rate or burst below 0, or no number
+  kName,       // empty, or contains a control character
+  kSameName,   // duplicate workspace name
+  kSharedKey,  // key is empty or belongs to two workspaces
+  kRate,       // negative or not a finite number
 };
 std::string_view Name(WorkspaceFault fault);
 
 struct WorkspaceError {
   WorkspaceFault fault;
-  std::string    workspace;  // the one that was refused
+  std::string    workspace;  // name of the rejected workspace
 };
 
 class WorkspaceTable {
  public:
-  WorkspaceTable() = default;  // no workspaces
+  WorkspaceTable() = default;  // empty
   static tl::expected<WorkspaceTable, WorkspaceError> Build(
       std::vector<Workspace> workspaces);
 
-  // Pointers last as long as the table.
+  // Pointers are valid as long as the table; nullptr if not found.
   const Workspace* FindByKey(std::string_view key) const;
   const Workspace* Find(std::string_view name) const;
   std::size_t      size() const { return m_workspaces.size(); }
 
  private:
-  // Lets a map of strings be searched by views.
+  // Transparent hash, so that lookups accept string views.
   struct Hash {
     using is_transparent = void;
     std::size_t operator()(std::string_view text) const {
@@ -75,16 +73,16 @@
   };
   using Index =
       std::unordered_map<std::string, std::size_t, Hash, std::equal_to<>>;
-  const Workspace* At(const Index& index, std::string_view text) const;
+  const Workspace* Lookup(const Index& index, std::string_view text) const;
 
   std::vector<Workspace> m_workspaces;
   Index                  m_by_key;
   Index                  m_by_name;
 };
 
-// The id as other parts know it: the workspace's name, a line feed, the id. No
-// header and no workspace's name holds a line feed. Without a workspace, or for
-// an empty id, the id itself.
+// Returns the workspace's name, a line feed and the id. Neither headers nor
+// workspace names can contain a line feed. Without a workspace, or for an empty
+// id, returns the id itself.
 std::string Scoped(const Workspace* workspace, const std::string& id);
 
 }  // namespace yuccawick::workspaces
