--- a/src/yuccawick/net/endpoint.cc
+++ b/src/yuccawick/net/endpoint.cc
@@ -12,7 +12,7 @@
 namespace yuccawick::net {
 namespace {
 
-constexpr int kBacklog = 1024;  // new connections wait here during a burst
+constexpr int kBacklog = 1024;  // connections that may wait for accept()
 
 sockaddr_in ToSystem(const Endpoint& endpoint) {
   sockaddr_in address{};
@@ -22,11 +22,11 @@
   return address;
 }
 
-void Tune(int fd, int silence) {
+void SetSocketOptions(int fd, int user_timeout) {
   const int on = 1;
   setsockopt(fd, IPPROTO_TCP, TCP_NODELAY, &on, sizeof on);
-  const auto bound = static_cast<unsigned>(silence);
-  setsockopt(fd, IPPROTO_TCP, TCP_USER_TIMEOUT, &bound, sizeof bound);
+  const auto timeout = static_cast<unsigned>(user_timeout);
+  setsockopt(fd, IPPROTO_TCP, TCP_USER_TIMEOUT, &timeout, sizeof timeout);
 }
 
 }  // namespace
@@ -68,10 +68,10 @@
   return fd;
 }
 
-int Connect(const Endpoint& to, int silence) {
+int Connect(const Endpoint& to, int user_timeout) {
   const int fd = socket(AF_INET, SOCK_STREAM | SOCK_NONBLOCK | SOCK_CLOEXEC, 0);
   if (fd < 0) return -1;
-  Tune(fd, silence);
+  SetSocketOptions(fd, user_timeout);
   const sockaddr_in address = ToSystem(to);
   if (connect(fd, reinterpret_cast<const sockaddr*>(&address),
               sizeof address) != 0 &&
@@ -82,10 +82,10 @@
   return fd;
 }
 
-int Accept(int listener, int silence) {
+int Accept(int listener, int user_timeout) {
   const int fd =
       accept4(listener, nullptr, nullptr, SOCK_NONBLOCK | SOCK_CLOEXEC);
-  if (fd >= 0) Tune(fd, silence);
+  if (fd >= 0) SetSocketOptions(fd, user_timeout);
   return fd;
 }
 
--- a/src/yuccawick/net/endpoint.h
+++ b/src/yuccawick/net/endpoint.h
@@ -1,4 +1,4 @@
-// An IPv4 address and port, as settings and discovery write it: "10.1.0.3:80".
+// IPv4 endpoints, written as "10.1.0.3:80", and non-blocking TCP sockets.
 #pragma once
 
 #include <cstdint>
@@ -16,14 +16,16 @@
   std::string Text() const;
 };
 
+// Returns nullopt unless `text` is "ADDRESS:PORT".
 std::optional<Endpoint> ParseEndpoint(std::string_view text);
 
-// Non-blocking sockets; -1 with errno set if the system refuses. Connecting is
-// under way when Connect() returns. `silence` (ms) bounds how long bytes may
-// stay unacknowledged: a peer that lost power or is cut off sends no reset, and
-// without the bound a pooled connection to it would hang for minutes.
+// Each returns a file descriptor, or -1 with errno set. Connect() returns while
+// the connection is being established. `user_timeout` is the TCP user timeout
+// in ms: how long sent bytes may stay unacknowledged. A peer that lost power
+// sends no reset; without the timeout, a pooled connection to it would hang for
+// minutes.
 int Listen(const Endpoint& at);
-int Connect(const Endpoint& to, int silence);
-int Accept(int listener, int silence);
+int Connect(const Endpoint& to, int user_timeout);
+int Accept(int listener, int user_timeout);
 
 }  // namespace yuccawick::net
--- a/src/yuccawick/net/event_loop.cc
+++ b/src/yuccawick/net/event_loop.cc
@@ -17,9 +17,9 @@
 constexpr int  kEventsPerWait = 128;
 constexpr Time kMillisPerSecond = 1000;
 constexpr Time kNanosPerMilli = 1'000'000;
-// Longest wait when no timer is set, in ms; it only bounds how late a clock
-// that moved while the VM was suspended is noticed.
-constexpr Time kLongestWait = 1000;
+// Maximum wait in ms when no timer is set. Bounds how late a clock jump after a
+// suspension of the VM is noticed.
+constexpr Time kMaxWait = 1000;
 
 std::uint32_t Mask(bool read, bool write, bool end) {
   std::uint32_t mask = end ? EPOLLRDHUP : 0U;
@@ -41,17 +41,17 @@
     : m_clock(std::move(clock)),
       m_epoll(epoll_create1(EPOLL_CLOEXEC)),
       m_now(m_clock()) {
-  std::array<int, 2> ends{};
-  if (m_epoll < 0 || pipe2(ends.data(), O_NONBLOCK | O_CLOEXEC) != 0) {
+  std::array<int, 2> pipe_ends{};
+  if (m_epoll < 0 || pipe2(pipe_ends.data(), O_NONBLOCK | O_CLOEXEC) != 0) {
     throw std::system_error(errno, std::generic_category(), "event loop");
   }
-  m_wake_read = ends[0];
-  m_wake_write = ends[1];
+  m_wake_read = pipe_ends[0];
+  m_wake_write = pipe_ends[1];
   Control(EPOLL_CTL_ADD, m_wake_read, EPOLLIN);
 }
 
 EventLoop::~EventLoop() {
-  // Tasks may own the last reference to what uses this loop.
+  // Tasks may own the last reference to objects that use this loop.
   RunDeferred();
   m_deferred.clear();
   auto timers = std::exchange(m_timers, {});
@@ -71,13 +71,13 @@
 
 void EventLoop::Watch(int fd, SocketHandler* handler, bool read, bool write) {
   const std::uint32_t mask = Mask(read, write, true);
-  m_watched[fd] = {handler, mask};
+  m_sockets[fd] = {handler, mask};
   Control(EPOLL_CTL_ADD, fd, mask);
 }
 
 void EventLoop::Change(int fd, bool read, bool write, bool end) {
-  const auto found = m_watched.find(fd);
-  if (found == m_watched.end()) return;
+  const auto found = m_sockets.find(fd);
+  if (found == m_sockets.end()) return;
   const std::uint32_t mask = Mask(read, write, end);
   if (found->second.events == mask) return;
   found->second.events = mask;
@@ -85,7 +85,7 @@
 }
 
 void EventLoop::Forget(int fd) {
-  if (m_watched.erase(fd) > 0) Control(EPOLL_CTL_DEL, fd, 0);
+  if (m_sockets.erase(fd) > 0) Control(EPOLL_CTL_DEL, fd, 0);
 }
 
 TimerId EventLoop::After(Duration delay, Task task) {
@@ -112,30 +112,30 @@
     const std::scoped_lock lock(m_posted_lock);
     m_posted.push_back(std::move(task));
   }
-  // A full pipe already holds a wake-up, so a failed write loses nothing.
+  // A full pipe already contains a wake-up, so a failed write is harmless.
   [[maybe_unused]] const auto written = write(m_wake_write, "w", 1);
 }
 
 Duration EventLoop::WaitTime() const {
   if (!m_deferred.empty()) return 0;
-  if (m_timers.empty()) return kLongestWait;
-  const Duration left = m_timers.begin()->first.first - m_clock();
-  return std::clamp<Duration>(left, 0, kLongestWait);
+  if (m_timers.empty()) return kMaxWait;
+  const Duration remaining = m_timers.begin()->first.first - m_clock();
+  return std::clamp<Duration>(remaining, 0, kMaxWait);
 }
 
 void EventLoop::Dispatch(int fd, std::uint32_t events) {
   if (fd == m_wake_read) {
-    TakePosted();
+    RunPosted();
     return;
   }
   const auto handler_of = [&]() -> SocketHandler* {
-    const auto found = m_watched.find(fd);
-    return found == m_watched.end() ? nullptr : found->second.handler;
+    const auto found = m_sockets.find(fd);
+    return found == m_sockets.end() ? nullptr : found->second.handler;
   };
   SocketHandler* handler = handler_of();
   if (handler == nullptr) return;
   if ((events & EPOLLIN) != 0) handler->OnReadable();
-  // A handler may close its socket, and another may even reuse its number.
+  // The handler may have closed its socket and its descriptor may be reused.
   if (handler_of() != handler) return;
   if ((events & EPOLLOUT) != 0) handler->OnWritable();
   if (handler_of() != handler) return;
@@ -156,9 +156,9 @@
   for (const Task& task : tasks) task();
 }
 
-void EventLoop::TakePosted() {
-  std::array<char, 64> sink{};
-  while (read(m_wake_read, sink.data(), sink.size()) > 0) {
+void EventLoop::RunPosted() {
+  std::array<char, 64> buffer{};
+  while (read(m_wake_read, buffer.data(), buffer.size()) > 0) {
   }
   std::vector<Task> tasks;
   {
--- a/src/yuccawick/net/event_loop.h
+++ b/src/yuccawick/net/event_loop.h
@@ -1,11 +1,11 @@
-// One thread's event loop: sockets, timers and work handed over by others.
+// Single-threaded event loop for sockets, timers and tasks.
 //
-// Use one loop per thread. Everything a loop calls runs on its thread, so the
-// objects it drives need no locks; Post() is the only call that other threads
-// may make. Handlers may remove themselves or others while they run.
+// Use one loop per thread. All callbacks run on the loop's thread, so the
+// objects it drives need no locks; only Post() may be called from other
+// threads. Handlers may unregister themselves or others while they run.
 //
-// Sockets are watched level-triggered with epoll. POCO's PollSet is not used
-// here because it copies a map of all sockets on every wait.
+// Sockets are watched with level-triggered epoll. POCO's PollSet is not used
+// because it copies a map of all sockets on every wait.
 #pragma once
 
 #include <cstdint>
@@ -17,56 +17,56 @@
 
 namespace yuccawick::net {
 
-// Milliseconds of the boot-time clock: it goes on while the VM is suspended, so
-// a deadline that passed meanwhile is seen as passed. Never the time of day.
+// Milliseconds of CLOCK_BOOTTIME, which advances while the VM is suspended, so
+// deadlines that pass meanwhile are seen as expired. Not wall-clock time.
 using Time = std::int64_t;
 using Duration = std::int64_t;  // ms
 
 Time Now();
 
-// Receives what happens to one watched socket.
+// Receives the events of one watched socket.
 class SocketHandler {
  public:
   virtual ~SocketHandler() = default;
-  virtual void OnReadable() = 0;  // bytes, an end of stream or an error wait
+  virtual void OnReadable() = 0;  // data, end of stream or an error is pending
   virtual void OnWritable() = 0;
   virtual void OnHangup() = 0;  // the peer closed, or the socket failed
 };
 
-using TimerId = std::uint64_t;  // 0 names no timer
+using TimerId = std::uint64_t;  // 0 is no timer
 
 class EventLoop {
  public:
   using Task = std::function<void()>;
   using Clock = std::function<Time()>;
 
-  // Tests give a clock that they move by hand.
+  // Tests pass a simulated clock.
   explicit EventLoop(Clock clock = Now);
   ~EventLoop();
   EventLoop(const EventLoop&) = delete;
   EventLoop& operator=(const EventLoop&) = delete;
 
   void    Watch(int fd, SocketHandler* handler, bool read, bool write);
-  // `end`: report that the peer ended its side, even while `read` is off.
+  // `end`: report that the peer closed its side even while `read` is false.
   void    Change(int fd, bool read, bool write, bool end = true);
   void    Forget(int fd);
   TimerId After(Duration delay, Task task);
-  void    Cancel(TimerId* timer);  // sets it to 0; harmless if it has run
-  // Runs `task` on this loop's thread soon, after the handlers at hand.
+  void    Cancel(TimerId* timer);  // sets it to 0; no effect once it has run
+  // Runs `task` on this thread after the current handlers.
   void    Defer(Task task);
-  void    Post(Task task);  // the same, from any thread
-  void    Run();            // until Stop()
-  // One turn of the loop that waits up to `wait` ms for sockets; returns how
-  // many of them had something.
+  void    Post(Task task);  // like Defer(), from any thread
+  void    Run();            // returns after Stop()
+  // Runs one iteration that waits up to `wait` ms for sockets; returns the
+  // number of sockets with events.
   int     RunOnce(Duration wait);
   void    Stop() { m_stopped = true; }
-  Time    now() const { return m_now; }  // as of the present turn of the loop
-  // As of this call: a process that was stopped in the middle of a turn sees
-  // how long.
+  Time    now() const { return m_now; }  // start of the current iteration
+  // Current time. Differs from now() if the process was suspended or handlers
+  // ran for long within this iteration.
   Time    ReadClock() const { return m_clock(); }
 
  private:
-  struct Watched {
+  struct WatchedSocket {
     SocketHandler* handler = nullptr;
     std::uint32_t  events = 0;
   };
@@ -75,7 +75,7 @@
   void     Dispatch(int fd, std::uint32_t events);
   void     RunTimers();
   void     RunDeferred();
-  void     TakePosted();
+  void     RunPosted();
 
   Clock                                    m_clock;
   int                                      m_epoll = -1;
@@ -84,7 +84,7 @@
   bool                                     m_stopped = false;
   Time                                     m_now = 0;
   TimerId                                  m_last_timer = 0;
-  std::unordered_map<int, Watched>         m_watched;
+  std::unordered_map<int, WatchedSocket>   m_sockets;
   std::map<std::pair<Time, TimerId>, Task> m_timers;
   std::unordered_map<TimerId, Time>        m_timer_times;
   std::vector<Task>                        m_deferred;
--- a/src/yuccawick/net/http.cc
+++ b/src/yuccawick/net/http.cc
@@ -10,23 +10,24 @@
 
 constexpr std::string_view kHeadEnd = "\r\n\r\n";
 
-char Lower(char c) {
+char ToLower(char c) {
   return c >= 'A' && c <= 'Z' ? static_cast<char>(c - 'A' + 'a') : c;
 }
 
 bool IsTokenChar(char c) {
-  constexpr std::string_view kMarks = "!#$%&'*+-.^_`|~";
+  constexpr std::string_view kPunctuation = "!#$%&'*+-.^_`|~";
   return (c >= '0' && c <= '9') || (c >= 'a' && c <= 'z') ||
-         (c >= 'A' && c <= 'Z') || kMarks.find(c) != std::string_view::npos;
+         (c >= 'A' && c <= 'Z') ||
+         kPunctuation.find(c) != std::string_view::npos;
 }
 
-bool IsCleanText(std::string_view line) {
+bool HasNoLineBreaks(std::string_view line) {
   return std::none_of(line.begin(), line.end(), [](char c) {
     return c == '\r' || c == '\n' || c == '\0';
   });
 }
 
-bool IsCleanField(std::string_view line) {
+bool IsValidField(std::string_view line) {
   const auto colon = line.find(':');
   if (colon == std::string_view::npos || colon == 0) return false;
   return std::all_of(line.begin(),
@@ -34,31 +35,31 @@
                      IsTokenChar);
 }
 
-// Every line of a head, the last blank one left out, has only one reading.
+// Accepts a head, including its blank line, only if every line is unambiguous.
 bool IsStrictHead(std::string_view head) {
   bool first = true;
   while (head != "\r\n") {
     const auto end = head.find("\r\n");
     if (end == std::string_view::npos) return false;
     const std::string_view line = head.substr(0, end);
-    if (line.empty() || !IsCleanText(line)) return false;
-    if (!first && !IsCleanField(line)) return false;
+    if (line.empty() || !HasNoLineBreaks(line)) return false;
+    if (!first && !IsValidField(line)) return false;
     first = false;
     head.remove_prefix(end + 2);
   }
   return !first;
 }
 
-bool HasSoundFraming(const Headers& headers) {
+bool HasValidFraming(const Headers& headers) {
   if (headers.Count("Content-Length") > 1) return false;
-  const std::size_t codings = headers.Count("Transfer-Encoding");
-  if (codings > 1) return false;
-  if (codings == 0) return true;
+  const std::size_t encodings = headers.Count("Transfer-Encoding");
+  if (encodings > 1) return false;
+  if (encodings == 0) return true;
   if (headers.Find("Content-Length") != nullptr) return false;
   return SameName(*headers.Find("Transfer-Encoding"), "chunked");
 }
 
-// A response with neither a length nor chunks ends when its sender closes.
+// A response with neither a length nor chunks is delimited by connection close.
 bool EndsWithConnection(const Head& head) {
   constexpr int kNoContent = 204;
   constexpr int kNotModified = 304;
@@ -74,7 +75,7 @@
 
 bool SameName(std::string_view a, std::string_view b) {
   return std::equal(a.begin(), a.end(), b.begin(), b.end(),
-                    [](char x, char y) { return Lower(x) == Lower(y); });
+                    [](char x, char y) { return ToLower(x) == ToLower(y); });
 }
 
 void Headers::Add(std::string_view name, std::string_view value) {
@@ -129,20 +130,20 @@
 }
 
 std::size_t HttpReader::Feed(std::string_view bytes) {
-  std::size_t taken = 0;
+  std::size_t consumed = 0;
   m_ended = false;
-  while (taken < bytes.size() && !m_fault && !m_ended) {
-    const std::string_view rest = bytes.substr(taken);
-    taken += m_in_body ? Parse(rest) : FeedHead(rest);
+  while (consumed < bytes.size() && !m_fault && !m_ended) {
+    const std::string_view rest = bytes.substr(consumed);
+    consumed += m_in_body ? Parse(rest) : FeedHead(rest);
   }
-  return taken;
+  return consumed;
 }
 
 std::size_t HttpReader::FeedHead(std::string_view bytes) {
-  // The end of the head may lie across the border to the bytes at hand.
+  // The end of the head may span the buffered and the new bytes.
   const std::size_t before = m_raw_head.size();
-  const std::size_t room = m_limits.head_bytes + kHeadEnd.size() - before;
-  m_raw_head.append(bytes.substr(0, room));
+  const std::size_t capacity = m_limits.head_bytes + kHeadEnd.size() - before;
+  m_raw_head.append(bytes.substr(0, capacity));
   const std::size_t from =
       before > kHeadEnd.size() ? before - kHeadEnd.size() : 0;
   const auto end = m_raw_head.find(kHeadEnd, from);
@@ -150,19 +151,19 @@
     if (m_raw_head.size() > m_limits.head_bytes) {
       m_fault = HttpFault::kHeadTooLarge;
     }
-    return std::min(bytes.size(), room);
+    return std::min(bytes.size(), capacity);
   }
   m_raw_head.resize(end + kHeadEnd.size());
-  const std::size_t taken = m_raw_head.size() - before;
+  const std::size_t consumed = m_raw_head.size() - before;
   if (!IsStrictHead(m_raw_head)) {
     m_fault = HttpFault::kMalformed;
-    return taken;
+    return consumed;
   }
   StartMessage();
   m_in_body = true;
   const std::string head = std::exchange(m_raw_head, {});
   Parse(head);
-  return taken;
+  return consumed;
 }
 
 std::size_t HttpReader::Parse(std::string_view bytes) {
@@ -231,7 +232,7 @@
     head.status = static_cast<int>(parser->status_code);
     head.ends_with_connection = EndsWithConnection(head);
   }
-  if (parser->http_major != 1 || !HasSoundFraming(head.headers)) {
+  if (parser->http_major != 1 || !HasValidFraming(head.headers)) {
     self->m_fault = HttpFault::kMalformed;
     return -1;
   }
@@ -241,7 +242,7 @@
     return -1;
   }
   self->m_sink->OnHead(std::move(head));
-  // An upgrade would turn what follows into bytes of another protocol.
+  // Otherwise the parser would pass the following bytes through unparsed.
   parser->upgrade = 0;
   return 0;
 }
--- a/src/yuccawick/net/http.h
+++ b/src/yuccawick/net/http.h
@@ -1,10 +1,10 @@
-// HTTP/1.1 messages, read strictly and written plainly.
+// Strict HTTP/1.1 parsing and message formatting.
 //
-// HttpReader wraps the http-parser library. It first collects the whole head
-// and refuses what other programs might read differently: bare line feeds,
-// folded lines, blanks before a colon, repeated framing headers. Two programs
-// that disagree about where a message ends let one client smuggle a request
-// into another's connection; refusing the message leaves no room for that.
+// HttpReader wraps the http-parser library. It buffers the whole head and
+// rejects anything that other parsers may read differently: bare line feeds,
+// folded lines, whitespace before a colon, repeated framing headers. If two
+// programs disagree on where a message ends, a client can smuggle a request
+// into another client's connection.
 #pragma once
 
 #include <http_parser.h>
@@ -18,14 +18,14 @@
 namespace yuccawick::net {
 
 struct Header {
-  std::string name;  // as sent
+  std::string name;  // spelled as received
   std::string value;
 };
 
 class Headers {
  public:
   void                       Add(std::string_view name, std::string_view value);
-  // The first of that name, any case; nullptr if there is none.
+  // Returns the first header of that name, ignoring case, or nullptr.
   const std::string*         Find(std::string_view name) const;
   std::size_t                Count(std::string_view name) const;
   const std::vector<Header>& all() const { return m_headers; }
@@ -34,22 +34,22 @@
   std::vector<Header> m_headers;
 };
 
-bool SameName(std::string_view a, std::string_view b);  // ignoring case
+bool SameName(std::string_view a, std::string_view b);  // case-insensitive
 
 struct Head {
-  std::string method;      // of a request
-  std::string target;      // of a request: path and query as sent
-  int         status = 0;  // of a response
-  std::string reason;      // of a response
+  std::string method;      // requests only
+  std::string target;      // requests only: path and query as received
+  int         status = 0;  // responses only
+  std::string reason;      // responses only
   Headers     headers;
-  bool        keep_alive = false;  // the sender will use the connection again
+  bool        keep_alive = false;  // the sender allows reuse of the connection
   bool        ends_with_connection = false;  // response without a length
 };
 
 enum class HttpFault : std::uint8_t {
-  kMalformed,     // not HTTP, or open to more than one reading
-  kHeadTooLarge,  // head above the limit
-  kBodyTooLarge,  // body above the limit
+  kMalformed,     // not HTTP, or ambiguous
+  kHeadTooLarge,  // head exceeds the limit
+  kBodyTooLarge,  // body exceeds the limit
 };
 
 class HttpSink {
@@ -73,13 +73,13 @@
   HttpReader(const HttpReader&) = delete;
   HttpReader& operator=(const HttpReader&) = delete;
 
-  // Reads on; stops after the end of a message so that the caller decides when
-  // the next one starts. Returns how many bytes were taken.
+  // Consumes bytes up to the end of the current message, so that the caller
+  // decides when to read the next one. Returns the number consumed.
   std::size_t              Feed(std::string_view bytes);
-  // The sender ended its side. True if that completes a message.
+  // The sender closed its side. Returns true if that completes a message.
   bool                     FeedEnd();
   std::optional<HttpFault> fault() const { return m_fault; }
-  bool                     in_message() const;  // some of it has been read
+  bool                     in_message() const;  // some of it was read
   bool                     in_body() const { return m_in_body; }
 
  private:
@@ -102,7 +102,7 @@
   HttpSink*                m_sink;
   http_parser              m_parser{};
   std::optional<HttpFault> m_fault;
-  std::string              m_raw_head;  // bytes of a head not yet whole
+  std::string              m_raw_head;  // incomplete head
   Head                     m_head;
   std::string              m_field;
   std::string              m_value;
@@ -112,15 +112,15 @@
   std::size_t              m_body_bytes = 0;
 };
 
-// "NAME: VALUE" lines and the blank line are added by these; framing headers
-// are the caller's choice.
+// Appends a header line or a chunk to `out`. The caller chooses the framing
+// headers and ends the head with a blank line.
 void AppendHeader(std::string* out, std::string_view name,
                   std::string_view value);
 void AppendChunk(std::string* out, std::string_view bytes);
 inline constexpr std::string_view kLastChunk = "0\r\n\r\n";
 std::string_view                  StatusText(int status);
 
-// True for headers that concern one connection only and are never passed on.
+// True for headers that apply to a single connection and are not forwarded.
 bool IsHopByHop(std::string_view name);
 
 }  // namespace yuccawick::net
--- a/src/yuccawick/net/http_client.cc
+++ b/src/yuccawick/net/http_client.cc
@@ -7,12 +7,12 @@
 namespace yuccawick::net {
 namespace {
 
-// How long bytes may stay unacknowledged, in ms. Calls have their own, usually
-// longer, limit; this one frees connections that went silent for good.
-constexpr int        kSilence = 2000;
-constexpr HttpLimits kAnswerLimits{16UL * 1024, 16UL << 20};
-// A kept connection that rested longer may have been dropped by the other side
-// without a word; a new one costs one round trip.
+// Maximum time in ms for sent bytes to stay unacknowledged. Closes dead
+// connections; calls have their own, usually longer timeout.
+constexpr int        kUnackedTimeout = 2000;
+constexpr HttpLimits kResponseLimits{16UL * 1024, 16UL << 20};
+// Maximum idle time in ms for reuse: the server or a middlebox may have dropped
+// an older connection without notice.
 constexpr Duration   kMaxIdle = 10'000;
 
 }  // namespace
@@ -27,7 +27,7 @@
   Connection(HttpClient* client, int fd)
       : m_client(client),
         m_stream(client->m_loop, this, fd, true),
-        m_reader(HttpRole::kResponses, kAnswerLimits, this) {}
+        m_reader(HttpRole::kResponses, kResponseLimits, this) {}
   ~Connection() override { m_client->m_loop->Cancel(&m_timer); }
 
   bool idle() const { return !m_done && m_stream.is_open(); }
@@ -35,7 +35,7 @@
 
   void Start(const Call& call, CallDone done) {
     m_done = std::move(done);
-    m_answer = {};
+    m_response = {};
     m_sent = m_connected;
     std::string request = call.method + " " + call.target + " HTTP/1.1\r\n";
     AppendHeader(&request, "Host", m_client->m_server.Text());
@@ -62,18 +62,18 @@
   }
 
   void OnBytes(std::string_view bytes) override {
-    if (!m_done) {  // bytes nobody asked for: the connection is out of step
+    if (!m_done) {  // unexpected bytes: out of sync
       m_stream.Close();
       m_client->Release(this, false);
       return;
     }
     m_complete = false;
-    const std::size_t taken = m_reader.Feed(bytes);
+    const std::size_t consumed = m_reader.Feed(bytes);
     if (m_reader.fault()) {
       m_stream.Close();
       Fail();
     } else if (m_complete) {
-      Succeed(taken == bytes.size());
+      Succeed(consumed == bytes.size());
     }
   }
 
@@ -91,16 +91,16 @@
   }
 
   void OnHead(Head head) override {
-    m_answer.status = head.status;
-    m_keep = head.keep_alive;
+    m_response.status = head.status;
+    m_keep_alive = head.keep_alive;
   }
-  void OnBody(std::string_view bytes) override { m_answer.body += bytes; }
+  void OnBody(std::string_view bytes) override { m_response.body += bytes; }
   void OnMessageEnd() override { m_complete = true; }
 
  private:
-  void Succeed(bool in_step) {
-    if (m_answer.status < 200) return;  // interim; the answer follows
-    End(std::move(m_answer), m_keep && in_step && m_stream.is_open());
+  void Succeed(bool in_sync) {
+    if (m_response.status < 200) return;  // interim response
+    End(std::move(m_response), m_keep_alive && in_sync && m_stream.is_open());
   }
   void Fail() {
     End(tl::unexpected(m_sent ? CallFailure::kUnknown : CallFailure::kNotSent),
@@ -118,12 +118,12 @@
   Stream      m_stream;
   HttpReader  m_reader;
   CallDone    m_done;
-  CallAnswer  m_answer;
+  CallAnswer  m_response;
   TimerId     m_timer = 0;
   Time        m_idle_since = 0;
   bool        m_connected = false;
   bool        m_sent = false;
-  bool        m_keep = false;
+  bool        m_keep_alive = false;
   bool        m_complete = false;
 };
 
@@ -132,7 +132,7 @@
 
 HttpClient::~HttpClient() = default;
 
-HttpClient::Connection* HttpClient::Idle() {
+HttpClient::Connection* HttpClient::FindIdle() {
   const Time oldest = m_loop->now() - kMaxIdle;
   std::erase_if(m_connections, [&](const auto& connection) {
     return connection->idle() && connection->idle_since() < oldest;
@@ -144,9 +144,9 @@
 }
 
 void HttpClient::Send(const Call& call, CallDone done) {
-  Connection* connection = Idle();
+  Connection* connection = FindIdle();
   if (connection == nullptr) {
-    const int fd = Connect(m_server, kSilence);
+    const int fd = Connect(m_server, kUnackedTimeout);
     if (fd < 0) {
       m_loop->Defer([done = std::move(done)] {
         done(tl::unexpected(CallFailure::kNotSent));
@@ -165,10 +165,10 @@
       m_connections.begin(), m_connections.end(),
       [&](const auto& owned) { return owned.get() == connection; });
   if (found == m_connections.end()) return;
-  // Destroyed later: the connection is still on the call stack.
-  const std::shared_ptr<Connection> dying = std::move(*found);
+  // Destroyed later because the connection is still on the call stack.
+  const std::shared_ptr<Connection> closed = std::move(*found);
   m_connections.erase(found);
-  m_loop->Defer([dying] {});
+  m_loop->Defer([closed] {});
 }
 
 }  // namespace yuccawick::net
--- a/src/yuccawick/net/http_client.h
+++ b/src/yuccawick/net/http_client.h
@@ -1,8 +1,9 @@
-// Calls to one HTTP server over a few kept connections, on one event loop.
+// HTTP client for one server with a pool of kept-alive connections, on one
+// event loop.
 //
-// For control traffic, where a call is small and its answer is read whole. Each
-// call ends exactly once, with an answer or a failure that says whether the
-// server may have acted on it.
+// Intended for control traffic with small calls whose responses are read whole.
+// Each call completes exactly once, with a response or with a failure that says
+// whether the server may have executed it.
 #pragma once
 
 #include <cstdint>
@@ -20,8 +21,8 @@
 namespace yuccawick::net {
 
 enum class CallFailure : std::uint8_t {
-  kNotSent,  // no connection; the server saw nothing
-  kUnknown,  // sent, and no whole answer came: it may have been carried out
+  kNotSent,  // no connection; the server received nothing
+  kUnknown,  // no complete response; it may have been executed
 };
 std::string_view Name(CallFailure failure);
 
@@ -53,7 +54,7 @@
 
  private:
   class Connection;
-  Connection* Idle();
+  Connection* FindIdle();
   void        Release(Connection* connection, bool usable);
 
   EventLoop*                             m_loop;
--- a/src/yuccawick/net/newest.h
+++ b/src/yuccawick/net/newest.h
@@ -1,9 +1,8 @@
-// Hands values to another thread's loop, of which only the newest matters.
+// Passes values to the loop of another thread, keeping only the latest one.
 //
-// A value that the loop has not taken when the next one comes is dropped. At
-// the start of a node thousands of servers register one by one, each change
-// makes a whole list, and lists that wait for a busy loop would fill the
-// memory.
+// A value that the loop has not taken yet is replaced by the next one.
+// Otherwise lists of servers, rebuilt on each of thousands of registrations at
+// startup, could queue up behind a busy loop and exhaust memory.
 #pragma once
 
 #include <functional>
@@ -22,12 +21,12 @@
   Newest(EventLoop* loop, std::function<void(Value)> take)
       : m_loop(loop), m_take(std::move(take)) {}
 
-  // From any thread.
+  // May be called from any thread.
   void Put(Value value) {
     const std::lock_guard lock(m_mutex);
-    const bool            waits = m_value.has_value();
+    const bool            pending = m_value.has_value();
     m_value = std::move(value);
-    if (!waits) m_loop->Post([this] { m_take(Take()); });
+    if (!pending) m_loop->Post([this] { m_take(Take()); });
   }
 
  private:
--- a/src/yuccawick/net/stream.cc
+++ b/src/yuccawick/net/stream.cc
@@ -9,11 +9,11 @@
 namespace yuccawick::net {
 namespace {
 
-constexpr std::size_t kReadBytes = 64UL * 1024;  // one read of the kernel
-// A drained buffer up to this size is kept for the next bytes.
-constexpr std::size_t kKeptBuffer = 16UL * 1024;
+constexpr std::size_t kMaxReadBytes = 64UL * 1024;  // maximum bytes per recv()
+// Maximum capacity in bytes that an empty write buffer keeps.
+constexpr std::size_t kMaxIdleBuffer = 16UL * 1024;
 
-// The failure that waits at a socket; 0: none.
+// Returns the socket's pending error, or 0.
 int PendingError(int fd) {
   int       error = 0;
   socklen_t size = sizeof error;
@@ -41,7 +41,7 @@
   if (m_fd < 0) return;
   const bool was_empty = pending() == 0;
   if (was_empty) m_progress_at = m_loop->now();
-  m_out.append(bytes);
+  m_buffer.append(bytes);
   if (was_empty && !m_connecting) {
     Flush();
   } else {
@@ -55,30 +55,30 @@
 
 void Stream::Trim() {
   if (pending() == 0) {
-    m_out.clear();
-    m_out_start = 0;
-    if (m_out.capacity() > kKeptBuffer) m_out.shrink_to_fit();
-  } else if (m_out_start > m_out.size() / 2) {
-    m_out.erase(0, m_out_start);
-    m_out_start = 0;
+    m_buffer.clear();
+    m_sent = 0;
+    if (m_buffer.capacity() > kMaxIdleBuffer) m_buffer.shrink_to_fit();
+  } else if (m_sent > m_buffer.size() / 2) {
+    m_buffer.erase(0, m_sent);
+    m_sent = 0;
   }
 }
 
 void Stream::Meter() {
-  if (m_meter != nullptr) m_meter->Set(m_out.size());
+  if (m_meter != nullptr) m_meter->Set(m_buffer.size());
 }
 
 void Stream::Flush() {
   while (pending() > 0) {
     const auto sent =
-        send(m_fd, m_out.data() + m_out_start, pending(), MSG_NOSIGNAL);
+        send(m_fd, m_buffer.data() + m_sent, pending(), MSG_NOSIGNAL);
     if (sent < 0) {
       if (errno == EINTR) continue;
-      // Other failures show as a hangup; answering here would call the owner
-      // back in the middle of its own Write().
+      // Errors are reported as a hangup: calling the owner here would
+      // re-enter it from its own Write().
       break;
     }
-    m_out_start += static_cast<std::size_t>(sent);
+    m_sent += static_cast<std::size_t>(sent);
     m_progress_at = m_loop->now();
   }
   Trim();
@@ -109,15 +109,15 @@
   m_loop->Forget(m_fd);
   close(m_fd);
   m_fd = -1;
-  m_out_start = m_out.size();
+  m_sent = m_buffer.size();
   Trim();
   Meter();
 }
 
 void Stream::Reset() {
   if (m_fd < 0) return;
-  const linger at_once{1, 0};
-  setsockopt(m_fd, SOL_SOCKET, SO_LINGER, &at_once, sizeof at_once);
+  const linger immediate{1, 0};
+  setsockopt(m_fd, SOL_SOCKET, SO_LINGER, &immediate, sizeof immediate);
   Close();
 }
 
@@ -128,11 +128,11 @@
 }
 
 void Stream::OnReadable() {
-  std::array<char, kReadBytes> buffer;  // NOLINT: filled by recv
-  const auto got = recv(m_fd, buffer.data(), buffer.size(), 0);
-  if (got > 0) {
-    m_owner->OnBytes({buffer.data(), static_cast<std::size_t>(got)});
-  } else if (got == 0) {
+  std::array<char, kMaxReadBytes> buffer;  // NOLINT: filled by recv
+  const auto received = recv(m_fd, buffer.data(), buffer.size(), 0);
+  if (received > 0) {
+    m_owner->OnBytes({buffer.data(), static_cast<std::size_t>(received)});
+  } else if (received == 0) {
     Fail(CloseCause::kEnd);
   } else if (!WouldBlock() && errno != EINTR) {
     Fail(CloseCause::kReset);
@@ -160,7 +160,7 @@
     return;
   }
   if (m_reading == Reading::kOn) {
-    // Reading delivers what is left, then the end itself.
+    // Delivers the remaining bytes, then the end of the stream.
     OnReadable();
   } else {
     Fail(CloseCause::kEnd);
--- a/src/yuccawick/net/stream.h
+++ b/src/yuccawick/net/stream.h
@@ -1,8 +1,8 @@
-// A non-blocking TCP connection with a buffered writer.
+// Non-blocking TCP connection with a write buffer.
 //
-// The owner reads on OnBytes(); Write() never blocks and keeps what the kernel
-// would not take. Watch pending() for backpressure: pause the source of the
-// bytes above a bound and go on when OnDrained() is called.
+// The owner receives bytes through OnBytes(). Write() never blocks; it buffers
+// what the kernel does not accept. For backpressure, pause the source while
+// pending() is above a limit and resume on OnDrained().
 #pragma once
 
 #include <string>
@@ -13,38 +13,38 @@
 namespace yuccawick::net {
 
 enum class CloseCause : std::uint8_t {
-  kEnd,    // the peer ended its side in order
-  kReset,  // the connection failed: reset, timed out, or never established
+  kEnd,    // the peer closed its side in order
+  kReset,  // reset, timed out, or never established
 };
 
 enum class Reading : std::uint8_t {
-  kOn,        // bytes are delivered as they come
-  kWatchEnd,  // bytes stay in the kernel; that the peer went away is reported
-  kOff,       // bytes and an orderly end both wait until reading is on again
+  kOn,        // bytes are delivered
+  kWatchEnd,  // bytes stay in the kernel; the peer's close is reported
+  kOff,       // bytes and the peer's close wait until reading resumes
 };
 
-// Hears how many bytes a stream's buffer holds, whenever that changes.
+// Receives the size of a stream's write buffer whenever it changes.
 class BufferMeter {
  public:
   virtual ~BufferMeter() = default;
   virtual void Set(std::size_t bytes) = 0;
 };
 
-// Callbacks may close the stream, but destroy it only through
+// Callbacks may close the stream, but may destroy it only through
 // EventLoop::Defer().
 class StreamOwner {
  public:
   virtual ~StreamOwner() = default;
   virtual void OnConnected() {}
   virtual void OnBytes(std::string_view bytes) = 0;
-  virtual void OnDrained() {}  // everything written has left the buffer
+  virtual void OnDrained() {}  // the write buffer became empty
   virtual void OnClosed(CloseCause cause) = 0;
 };
 
 class Stream final : public SocketHandler {
  public:
-  // Takes over `fd`. `connecting`: OnConnected() follows once established.
-  // `meter` may be nullptr.
+  // Takes ownership of `fd`. `connecting`: OnConnected() is called once the
+  // connection is established. `meter` may be nullptr.
   Stream(EventLoop* loop, StreamOwner* owner, int fd, bool connecting,
          BufferMeter* meter = nullptr);
   ~Stream() override;
@@ -53,12 +53,13 @@
 
   void        Write(std::string_view bytes);
   void        SetReading(Reading reading);
-  void        EndWriting();  // after the buffer, ends our side
-  void        Close();       // at once; the owner hears no more
-  void        Reset();       // at once, so that the peer sees a failure
+  void        EndWriting();  // half-closes once the buffer is sent
+  void        Close();       // immediate; no further callbacks
+  void        Reset();       // like Close(), but sends a TCP reset
   bool        is_open() const { return m_fd >= 0; }
-  std::size_t pending() const { return m_out.size() - m_out_start; }
-  // How long the peer has taken none of the bytes that wait; 0 if none do.
+  std::size_t pending() const { return m_buffer.size() - m_sent; }
+  // Time in ms since the peer last accepted buffered bytes; 0 if none are
+  // pending.
   Duration    stalled() const;
 
   void OnReadable() override;
@@ -69,7 +70,7 @@
   void Flush();
   void Update();
   void Fail(CloseCause cause);
-  // Gives up what the peer has taken of the buffer.
+  // Frees the part of the buffer that was sent.
   void Trim();
   void Meter();
 
@@ -80,9 +81,9 @@
   bool         m_connecting;
   Reading      m_reading = Reading::kOn;
   bool         m_end_after_flush = false;
-  std::string  m_out;
-  std::size_t  m_out_start = 0;
-  Time         m_progress_at = 0;  // when bytes began to wait or some left
+  std::string  m_buffer;
+  std::size_t  m_sent = 0;  // bytes at the start of m_buffer that were sent
+  Time         m_progress_at = 0;  // last time bytes were queued or sent
 };
 
 }  // namespace yuccawick::net
