--- a/src/yuccawick/net/http.cc
+++ b/src/yuccawick/net/http.cc
@@ -242,7 +242,7 @@
     return -1;
   }
   self->m_sink->OnHead(std::move(head));
-  // Otherwise the parser would pass the following bytes through unparsed.
+  // Otherwise the parser would treat what follows as another protocol.
   parser->upgrade = 0;
   return 0;
 }
--- a/src/yuccawick/workspaces/rate_ledger.h
+++ b/src/yuccawick/workspaces/rate_ledger.h
@@ -3,8 +3,8 @@
 //
 // The operator's limit is a sliding window: no window may contain more than
 // rate * length + burst requests. A node appends a claim to the log, subtracts
-// all claims before its own that it received within the window, and grants the
-// remainder. No leases or synchronized clocks are needed:
+// from the limit all earlier claims that it received within the window, and
+// grants the remainder. No leases or synchronized clocks are needed:
 //
 // - Two nodes that coordinate the same workspace see each other's claims in the
 //   log, so together they stay within the limit.
