--- a/src/yuccawick/gateway/backends.cc
+++ b/src/yuccawick/gateway/backends.cc
@@ -12,18 +12,18 @@
 
 constexpr net::HttpLimits kAnswerLimits{64UL * 1024, 64UL << 20};
 constexpr Duration        kMillisPerSecond = 1000;
-// A program's home is one of so many servers.
-constexpr std::size_t     kHomesLookedAt = 64;
+// Servers considered for a program's cache affinity.
+constexpr std::size_t     kAffinityCandidates = 64;
 
 Duration IdleLimit(const net::Headers& headers, const Thresholds& thresholds) {
-  const std::string* keep = headers.Find("Keep-Alive");
-  if (keep == nullptr) return thresholds.idle_limit;
+  const std::string* keep_alive = headers.Find("Keep-Alive");
+  if (keep_alive == nullptr) return thresholds.idle_limit;
   constexpr std::string_view kField = "timeout=";
-  const auto                 at = keep->find(kField);
+  const auto                 at = keep_alive->find(kField);
   if (at == std::string::npos) return thresholds.idle_limit;
   Duration    seconds = 0;
-  const char* digits = keep->data() + at + kField.size();
-  std::from_chars(digits, keep->data() + keep->size(), seconds);
+  const char* digits = keep_alive->data() + at + kField.size();
+  std::from_chars(digits, keep_alive->data() + keep_alive->size(), seconds);
   return static_cast<Duration>(thresholds.idle_share *
                                static_cast<double>(seconds * kMillisPerSecond));
 }
@@ -42,8 +42,8 @@
       m_thresholds(thresholds),
       m_server_id(std::move(server_id)),
       m_on_idle_lost(std::move(on_idle_lost)),
-      m_held_output(memory, pressure::MemoryKind::kToServers),
-      m_stream(loop, this, fd, true, &m_held_output),
+      m_output_charge(memory, pressure::MemoryKind::kToServers),
+      m_stream(loop, this, fd, true, &m_output_charge),
       m_reader(net::HttpRole::kResponses, kAnswerLimits, this) {
   m_connect_timer = loop->After(m_thresholds->connect_timeout, [this] {
     m_connect_timer = 0;
@@ -54,10 +54,11 @@
 
 BackendConnection::~BackendConnection() { m_loop->Cancel(&m_connect_timer); }
 
-void BackendConnection::Send(BackendHandler* user, std::string_view request) {
-  m_user = user;
-  m_ended = false;
-  m_in_step = true;
+void BackendConnection::Send(BackendHandler*  handler,
+                             std::string_view request) {
+  m_handler = handler;
+  m_answer_complete = false;
+  m_in_sync = true;
   m_stream.Write(request);
 }
 
@@ -65,16 +66,16 @@
   m_stream.SetReading(hold ? net::Reading::kOff : net::Reading::kOn);
 }
 
-bool BackendConnection::usable_again() const {
-  // An answer that came before the request was out leaves the rest of the
-  // request to be read as the next one.
-  return m_ended && m_keep_alive && m_in_step && m_stream.is_open() &&
-         m_stream.pending() == 0 && m_max_idle > 0;
+bool BackendConnection::reusable() const {
+  // After an answer that precedes the end of the request, the server would
+  // parse the rest of the request as the next one.
+  return m_answer_complete && m_keep_alive && m_in_sync && m_stream.is_open() &&
+         m_stream.pending() == 0 && m_max_idle_time > 0;
 }
 
 void BackendConnection::Detach(Time now) {
-  m_user = nullptr;
-  // The end of an answer may come with the bytes for which reading was held.
+  m_handler = nullptr;
+  // The answer may have ended with the bytes that paused reading.
   HoldReading(false);
   m_idle_since = now;
 }
@@ -84,76 +85,80 @@
   m_stream.Close();
 }
 
-bool BackendConnection::FreshAt(Time now) const {
-  return m_stream.is_open() && now - m_idle_since < m_max_idle;
+bool BackendConnection::ReusableAt(Time now) const {
+  return m_stream.is_open() && now - m_idle_since < m_max_idle_time;
 }
 
 void BackendConnection::OnConnected() {
   m_connected = true;
   m_loop->Cancel(&m_connect_timer);
-  if (m_user != nullptr) m_user->OnBackendConnected();
+  if (m_handler != nullptr) m_handler->OnBackendConnected();
 }
 
 void BackendConnection::OnBytes(std::string_view bytes) {
   while (!bytes.empty()) {
-    if (m_user == nullptr || m_ended) {
-      // Bytes that no request asked for: nothing after them can be trusted.
-      m_in_step = false;
-      if (m_user == nullptr) {
+    if (m_handler == nullptr || m_answer_complete) {
+      // Unsolicited bytes: the connection is out of sync.
+      m_in_sync = false;
+      if (m_handler == nullptr) {
         m_stream.Close();
         m_on_idle_lost(this);
       }
       return;
     }
-    const std::size_t taken = m_reader.Feed(bytes);
-    bytes.remove_prefix(taken);
-    // The user may have let go of the connection while it read.
-    if (m_user == nullptr) return;
+    const std::size_t consumed = m_reader.Feed(bytes);
+    bytes.remove_prefix(consumed);
+    // The handler may have detached during the callback.
+    if (m_handler == nullptr) return;
     if (m_reader.fault()) {
-      Lose(traffic::SendFailureCause::kBadAnswer);
+      Fail(traffic::SendFailureCause::kBadAnswer);
       return;
     }
-    if (m_ended) {
-      m_in_step = bytes.empty();
-      m_user->OnBackendEnd();
+    if (m_answer_complete) {
+      m_in_sync = bytes.empty();
+      m_handler->OnBackendEnd();
       return;
     }
   }
 }
 
 void BackendConnection::OnClosed(net::CloseCause cause) {
-  if (m_user == nullptr) {
+  if (m_handler == nullptr) {
     m_on_idle_lost(this);
     return;
   }
-  if (m_ended) return;
-  if (cause == net::CloseCause::kEnd && m_reader.FeedEnd() && m_ended) {
+  if (m_answer_complete) return;
+  if (cause == net::CloseCause::kEnd && m_reader.FeedEnd() &&
+      m_answer_complete) {
     m_keep_alive = false;
-    m_user->OnBackendEnd();
+    m_handler->OnBackendEnd();
     return;
   }
-  Lose(m_connected ? traffic::SendFailureCause::kBroken
+  Fail(m_connected ? traffic::SendFailureCause::kBroken
                    : traffic::SendFailureCause::kNotConnected);
 }
 
-void BackendConnection::Lose(traffic::SendFailureCause cause) {
+void BackendConnection::Fail(traffic::SendFailureCause cause) {
   m_stream.Close();
-  if (m_user != nullptr) m_user->OnBackendFailed(cause);
+  if (m_handler != nullptr) m_handler->OnBackendFailed(cause);
 }
 
 void BackendConnection::OnHead(net::Head head) {
   constexpr int kFirstFinalStatus = 200;
-  m_skipping = head.status < kFirstFinalStatus ||
-               (m_user != nullptr && !m_user->OnBackendHead(head));
+  m_skipping_answer = head.status < kFirstFinalStatus ||
+                      (m_handler != nullptr && !m_handler->OnBackendHead(head));
   m_keep_alive = head.keep_alive && !head.ends_with_connection;
-  m_max_idle = IdleLimit(head.headers, *m_thresholds);
+  m_max_idle_time = IdleLimit(head.headers, *m_thresholds);
 }
 
 void BackendConnection::OnBody(std::string_view bytes) {
-  if (!m_skipping && m_user != nullptr) m_user->OnBackendBody(bytes);
+  if (!m_skipping_answer && m_handler != nullptr)
+    m_handler->OnBackendBody(bytes);
 }
 
-void BackendConnection::OnMessageEnd() { m_ended = !m_skipping; }
+void BackendConnection::OnMessageEnd() {
+  m_answer_complete = !m_skipping_answer;
+}
 
 Backends::Backends(net::EventLoop* loop, const Thresholds* thresholds,
                    std::string                         zone,
@@ -205,39 +210,39 @@
   for (BackendConnection* connection : idle) Destroy(connection);
 }
 
-void Backends::Count(const ServerReports& news) {
-  for (const auto& [id, told] : news) {
-    ServerReport& sum = m_heard[id];
-    sum.requests += told.requests;
-    sum.outcomes += told.outcomes;
+void Backends::AddToTotals(const ServerReports& reports) {
+  for (const auto& [id, report] : reports) {
+    ServerReport& sum = m_peer_totals[id];
+    sum.requests += report.requests;
+    sum.outcomes += report.outcomes;
   }
 }
 
-void Backends::Uncount(const ServerReports& news) {
-  constexpr double kRounding = 1e-3;  // what sums of fractions may leave
-  for (const auto& [id, told] : news) {
-    const auto found = m_heard.find(id);
-    if (found == m_heard.end()) continue;
+void Backends::SubtractFromTotals(const ServerReports& reports) {
+  constexpr double kRounding = 1e-3;  // rounding error of the sums
+  for (const auto& [id, report] : reports) {
+    const auto found = m_peer_totals.find(id);
+    if (found == m_peer_totals.end()) continue;
     ServerReport& sum = found->second;
-    sum.requests -= told.requests;
-    sum.outcomes += {-told.outcomes.answers, -told.outcomes.failures};
+    sum.requests -= report.requests;
+    sum.outcomes += {-report.outcomes.answers, -report.outcomes.failures};
     if (sum.requests <= 0 && sum.outcomes.answers < kRounding)
-      m_heard.erase(found);
+      m_peer_totals.erase(found);
   }
 }
 
-void Backends::DropOldNews() {
+void Backends::DropExpiredReports() {
   const Time oldest = m_loop->now() - m_thresholds->load_memory;
-  if (m_oldest_news >= oldest) return;
-  m_oldest_news = m_loop->now();
+  if (m_oldest_report >= oldest) return;
+  m_oldest_report = m_loop->now();
   std::erase_if(m_peers, [&](const auto& entry) {
-    const bool old = entry.second.heard < oldest;
-    if (old) {
-      Uncount(entry.second.news);
+    const bool expired = entry.second.received_at < oldest;
+    if (expired) {
+      SubtractFromTotals(entry.second.reports);
     } else {
-      m_oldest_news = std::min(m_oldest_news, entry.second.heard);
+      m_oldest_report = std::min(m_oldest_report, entry.second.received_at);
     }
-    return old;
+    return expired;
   });
 }
 
@@ -257,23 +262,23 @@
     const std::vector<std::string>& avoid) {
   const auto found = m_services.find(service);
   if (found == m_services.end()) return std::nullopt;
-  DropOldNews();
-  const std::string warm = WarmFor(service, found->second, prompt, avoid);
+  DropExpiredReports();
+  const std::string warm = WarmServerFor(service, found->second, prompt, avoid);
   std::vector<traffic::Candidate> candidates =
-      CandidatesOf(&found->second, warm, avoid);
+      CandidatesFor(&found->second, warm, avoid);
   if (candidates.empty()) return std::nullopt;
   traffic::SampleCandidates(&candidates, m_thresholds->sampling, &m_random);
   for (traffic::Candidate& candidate : candidates) {
     candidate.prompt_tokens = prompt.tokens;
     candidate.memory_part = prompt.memory_part;
-    Look(m_servers.at(candidate.server->id), &candidate);
+    FillObservations(m_servers.at(candidate.server->id), &candidate);
   }
   const double draw =
       std::uniform_real_distribution<double>(0.0, 1.0)(m_random);
-  return AsChoice(candidates[m_placement->Choose(candidates, draw)]);
+  return ToChoice(candidates[m_placement->Choose(candidates, draw)]);
 }
 
-std::vector<traffic::Candidate> Backends::CandidatesOf(
+std::vector<traffic::Candidate> Backends::CandidatesFor(
     Service* service, const std::string& warm,
     const std::vector<std::string>& avoid) {
   std::vector<traffic::Candidate> candidates;
@@ -285,8 +290,10 @@
     candidate.holds_prefix = server->id == warm;
     candidates.push_back(candidate);
   };
-  const auto most = static_cast<std::size_t>(m_thresholds->sampling.most);
-  for (const auto* server : service->pool.Draw(most, &m_random)) add(server);
+  const auto max_candidates =
+      static_cast<std::size_t>(m_thresholds->sampling.most);
+  for (const auto* server : service->pool.Draw(max_candidates, &m_random))
+    add(server);
   const auto is_warm = [](const auto& each) { return each.holds_prefix; };
   if (!warm.empty() &&
       std::none_of(candidates.begin(), candidates.end(), is_warm)) {
@@ -298,48 +305,50 @@
   return candidates;
 }
 
-std::string Backends::WarmFor(const std::string& service,
-                              const Service& servers, const Prompt& prompt,
-                              const std::vector<std::string>& avoid) const {
+std::string Backends::WarmServerFor(
+    const std::string& service, const Service& servers, const Prompt& prompt,
+    const std::vector<std::string>& avoid) const {
   if (prompt.session.empty()) return {};
-  const auto last = m_lines.find(prompt.session);
-  if (last != m_lines.end() &&
+  const auto last = m_sessions.find(prompt.session);
+  if (last != m_sessions.end() &&
       FindUsable(last->second.server, service, avoid) != nullptr) {
     return last->second.server;
   }
-  const auto reach = traffic::ChooseAffinityScope(
+  const auto scope = traffic::ChooseAffinityScope(
       prompt.tokens, prompt.memory_part, m_thresholds->placement);
   std::vector<traffic::Candidate> all;
   std::vector<traffic::Candidate> fast;
   for (const auto* server :
-       servers.pool.Around(prompt.program, reach, kHomesLookedAt)) {
+       servers.pool.Around(prompt.program, scope, kAffinityCandidates)) {
     const State* state = FindUsable(server->id, service, avoid);
     if (state == nullptr) continue;
     traffic::Candidate candidate;
     candidate.server = server;
     candidate.same_zone = server->zone == m_zone;
     all.push_back(candidate);
-    if (!state->pace.slow()) fast.push_back(candidate);
+    if (!state->slowdown.slow()) fast.push_back(candidate);
   }
   return traffic::PreferredServer(prompt.program, fast.empty() ? all : fast,
-                                  reach);
+                                  scope);
 }
 
-void Backends::Look(const State& state, traffic::Candidate* candidate) const {
+void Backends::FillObservations(const State&        state,
+                                traffic::Candidate* candidate) const {
   const Time now = m_loop->now();
-  const auto heard = m_heard.find(state.server.id);
-  const auto told = heard == m_heard.end() ? ServerReport() : heard->second;
+  const auto totals = m_peer_totals.find(state.server.id);
+  const auto report =
+      totals == m_peer_totals.end() ? ServerReport() : totals->second;
   const bool failing = now - state.failed_at < m_thresholds->failure_memory;
   auto       outcomes = state.outcomes.At(now);
-  outcomes += told.outcomes;
+  outcomes += report.outcomes;
   candidate->local_load = state.load;
-  candidate->peer_load = told.requests;
+  candidate->peer_load = report.requests;
   candidate->recent_failures = failing ? state.failures : 0;
   candidate->failure_share = traffic::FailureShare(outcomes);
-  candidate->slowdown = state.pace.At(now);
+  candidate->slowdown = state.slowdown.At(now);
 }
 
-Backends::Choice Backends::AsChoice(const traffic::Candidate& candidate) {
+Backends::Choice Backends::ToChoice(const traffic::Candidate& candidate) {
   const auto slots = static_cast<double>(std::max(1, candidate.server->slots));
   return {*candidate.server, candidate.load() / slots, candidate.failure_share,
           candidate.slowdown};
@@ -350,12 +359,12 @@
   if (found == m_servers.end() || !found->second.listed) return std::nullopt;
   traffic::Candidate candidate;
   candidate.server = &found->second.server;
-  Look(found->second, &candidate);
-  return AsChoice(candidate);
+  FillObservations(found->second, &candidate);
+  return ToChoice(candidate);
 }
 
-bool Backends::AnyIn(const std::string&              service,
-                     const std::vector<std::string>& avoid) const {
+bool Backends::HasUntried(const std::string&              service,
+                          const std::vector<std::string>& avoid) const {
   const auto found = m_services.find(service);
   if (found == m_services.end()) return false;
   const auto& servers = found->second.pool.all();
@@ -369,22 +378,23 @@
   if (found == m_servers.end()) return nullptr;
   State& state = found->second;
   while (!fresh && !state.idle.empty()) {
-    BackendConnection* kept = state.idle.back();
+    BackendConnection* idle_connection = state.idle.back();
     state.idle.pop_back();
-    if (kept->FreshAt(m_loop->now())) {
+    if (idle_connection->ReusableAt(m_loop->now())) {
       ++state.load;
-      return kept;
+      return idle_connection;
     }
-    Destroy(kept);
+    Destroy(idle_connection);
   }
   const int fd = net::Connect(state.server.endpoint,
                               static_cast<int>(m_thresholds->server_silence));
   if (fd < 0) return nullptr;
   auto connection = std::make_unique<BackendConnection>(
-      m_loop, m_thresholds, m_memory, fd, id, [this](BackendConnection* lost) {
-        const auto owner = m_servers.find(lost->server_id());
-        if (owner != m_servers.end()) std::erase(owner->second.idle, lost);
-        Destroy(lost);
+      m_loop, m_thresholds, m_memory, fd, id,
+      [this](BackendConnection* closed) {
+        const auto owner = m_servers.find(closed->server_id());
+        if (owner != m_servers.end()) std::erase(owner->second.idle, closed);
+        Destroy(closed);
       });
   BackendConnection* raw = connection.get();
   m_connections.emplace(raw, std::move(connection));
@@ -401,10 +411,10 @@
   }
   State& state = found->second;
   --state.load;
-  const bool keep = connection->usable_again() && state.listed &&
-                    static_cast<std::int64_t>(state.idle.size()) <
-                        m_thresholds->idle_connections;
-  if (keep) {
+  const bool reuse = connection->reusable() && state.listed &&
+                     static_cast<std::int64_t>(state.idle.size()) <
+                         m_thresholds->idle_connections;
+  if (reuse) {
     state.idle.push_back(connection);
   } else {
     Destroy(connection);
@@ -422,14 +432,15 @@
   const auto found = m_connections.find(connection);
   if (found == m_connections.end()) return;
   connection->Close();
-  // Destroyed later: the connection may be on the call stack.
+  // Deferred: the connection may still be on the call stack.
   const std::shared_ptr<BackendConnection> dying = std::move(found->second);
   m_connections.erase(found);
   m_loop->Defer([dying] {});
 }
 
-void Backends::RememberSession(const std::string& line, const std::string& id) {
-  if (!line.empty()) m_lines[line] = {id, m_loop->now()};
+void Backends::RememberSession(const std::string& session,
+                               const std::string& id) {
+  if (!session.empty()) m_sessions[session] = {id, m_loop->now()};
 }
 
 void Backends::ObserveSuccess(const std::string& id) {
@@ -462,61 +473,61 @@
   if (service == m_services.end()) return;
   const Time now = m_loop->now();
   const auto seen =
-      service->second.scale.Compare(kind, took, state.pace.At(now), now);
-  if (seen) state.pace.Observe(*seen, now);
+      service->second.baseline.Compare(kind, took, state.slowdown.At(now), now);
+  if (seen) state.slowdown.Observe(*seen, now);
 }
 
-void Backends::RatePaces(Service* service) {
-  std::vector<capacity::ServerSlowdown*> paces;
+void Backends::UpdateSlowdowns(Service* service) {
+  std::vector<capacity::ServerSlowdown*> slowdowns;
   for (const auto* server : service->pool.all()) {
-    paces.push_back(&m_servers.at(server->id).pace);
+    slowdowns.push_back(&m_servers.at(server->id).slowdown);
   }
-  service->scale.Recenter(paces);
-  service->scale.Forget(m_loop->now() - m_thresholds->prefix_memory);
+  service->baseline.Recenter(slowdowns);
+  service->baseline.Forget(m_loop->now() - m_thresholds->prefix_memory);
   for (const auto* server : service->pool.all()) {
-    capacity::ServerSlowdown& pace = m_servers.at(server->id).pace;
-    if (!pace.UpdateSlow()) continue;
-    m_pace_changes.push_back(
-        {server->id, server->service, pace.slow(), pace.Lasting()});
+    capacity::ServerSlowdown& slowdown = m_servers.at(server->id).slowdown;
+    if (!slowdown.UpdateSlow()) continue;
+    m_slowdown_changes.push_back(
+        {server->id, server->service, slowdown.slow(), slowdown.Lasting()});
   }
 }
 
 std::vector<Backends::SlowdownChange> Backends::TakeSlowdownChanges() {
-  return std::exchange(m_pace_changes, {});
+  return std::exchange(m_slowdown_changes, {});
 }
 
 std::size_t Backends::slow_servers() const {
   return static_cast<std::size_t>(
       std::count_if(m_servers.begin(), m_servers.end(), [](const auto& entry) {
-        return entry.second.listed && entry.second.pace.slow();
+        return entry.second.listed && entry.second.slowdown.slow();
       }));
 }
 
 capacity::ServiceCapacity Backends::ComputeCapacity(
     const std::string& service, const traffic::EngineLimits& engine) const {
-  capacity::ServiceCapacity room;
+  capacity::ServiceCapacity total;
   const auto                found = m_services.find(service);
-  if (found == m_services.end()) return room;
+  if (found == m_services.end()) return total;
   for (const auto* server : found->second.pool.all()) {
-    const double pace = m_servers.at(server->id).pace.Lasting().factor;
-    ++room.servers;
-    room.slots += engine.slots / std::max(1.0, pace);
-    room.memory += engine.cache_tokens;
+    const double slowdown = m_servers.at(server->id).slowdown.Lasting().factor;
+    ++total.servers;
+    total.slots += engine.slots / std::max(1.0, slowdown);
+    total.memory += engine.cache_tokens;
   }
-  return room;
+  return total;
 }
 
 void Backends::Sweep() {
   const Time now = m_loop->now();
-  DropOldNews();
-  for (auto& [name, service] : m_services) RatePaces(&service);
-  std::erase_if(m_lines, [this, now](const auto& entry) {
+  DropExpiredReports();
+  for (auto& [name, service] : m_services) UpdateSlowdowns(&service);
+  std::erase_if(m_sessions, [this, now](const auto& entry) {
     return now - entry.second.used > m_thresholds->prefix_memory;
   });
   for (auto& [id, state] : m_servers) {
     std::vector<BackendConnection*> stale;
     for (BackendConnection* connection : state.idle) {
-      if (!connection->FreshAt(now)) stale.push_back(connection);
+      if (!connection->ReusableAt(now)) stale.push_back(connection);
     }
     for (BackendConnection* connection : stale) {
       std::erase(state.idle, connection);
@@ -529,50 +540,51 @@
 }
 
 bool Backends::ServerReport::operator==(const ServerReport& other) const {
-  // Answers without failures are no news, and failures fade by themselves.
-  constexpr double kSame = 0.5;
+  // Successful answers need no report, and failures decay on their own.
+  constexpr double kTolerance = 0.5;
   return requests == other.requests &&
          slowdown_changed == other.slowdown_changed &&
-         std::abs(outcomes.failures - other.outcomes.failures) < kSame;
+         std::abs(outcomes.failures - other.outcomes.failures) < kTolerance;
 }
 
 void Backends::SetPeerReport(const std::string&   peer,
-                             const ServerReports& news) {
-  const Time now = m_loop->now();
-  PeerNews&  known = m_peers[peer];
-  Uncount(known.news);
-  known = {news, now};
-  Count(news);
-  for (const auto& [id, told] : news) {
+                             const ServerReports& reports) {
+  const Time  now = m_loop->now();
+  PeerReport& known = m_peers[peer];
+  SubtractFromTotals(known.reports);
+  known = {reports, now};
+  AddToTotals(reports);
+  for (const auto& [id, report] : reports) {
     const auto found = m_servers.find(id);
     if (found != m_servers.end())
-      found->second.pace.MergePeer(told.slowdown, now);
+      found->second.slowdown.MergePeer(report.slowdown, now);
   }
 }
 
 Backends::ServerReports Backends::LocalReport() const {
-  constexpr double kWorthTelling = 0.25;  // of a failure
-  ServerReports    news;
+  constexpr double kMinReportedFailures = 0.25;  // decayed failures
+  ServerReports    reports;
   for (const auto& [id, state] : m_servers) {
-    ServerReport told{state.load, state.outcomes.At(m_loop->now()),
-                      state.pace.Unsent(), state.pace.NeedsImmediateReport()};
-    if (told.outcomes.failures < kWorthTelling) told.outcomes = {};
-    if (told.requests > 0 || told.outcomes.failures > 0 ||
-        told.slowdown.samples > 0) {
-      news[id] = told;
+    ServerReport report{state.load, state.outcomes.At(m_loop->now()),
+                        state.slowdown.Unsent(),
+                        state.slowdown.NeedsImmediateReport()};
+    if (report.outcomes.failures < kMinReportedFailures) report.outcomes = {};
+    if (report.requests > 0 || report.outcomes.failures > 0 ||
+        report.slowdown.samples > 0) {
+      reports[id] = report;
     }
   }
-  return news;
+  return reports;
 }
 
-void Backends::OnReportSent(ServerReports* news) {
-  for (auto& [id, told] : *news) {
+void Backends::OnReportSent(ServerReports* reports) {
+  for (auto& [id, report] : *reports) {
     const auto found = m_servers.find(id);
-    if (found != m_servers.end()) found->second.pace.TakeUnsent();
-    told.slowdown = {};
-    told.slowdown_changed = false;
+    if (found != m_servers.end()) found->second.slowdown.TakeUnsent();
+    report.slowdown = {};
+    report.slowdown_changed = false;
   }
-  std::erase_if(*news, [](const auto& entry) {
+  std::erase_if(*reports, [](const auto& entry) {
     return entry.second.requests == 0 && entry.second.outcomes.failures <= 0;
   });
 }
--- a/src/yuccawick/gateway/backends.h
+++ b/src/yuccawick/gateway/backends.h
@@ -1,9 +1,13 @@
-// Connections to backend servers, and what this node knows of their load.
+// Connections to backend servers, and the choice of a server for a request.
 //
-// One Backends serves the traffic loop. Acquire() a connection for one request,
-// Release() it when its answer is whole; anything else closes it. Loads are
-// exact for this node and as last heard for others. How fast servers work is
-// observed here and told to neighbours; see capacity/server_slowdown.h.
+// Load, failures and slowdown of each server are observed on this node and
+// merged with the reports of its peers; see capacity/server_slowdown.h. Used on
+// the traffic loop only.
+//
+//   auto choice = backends.Choose(service, prompt, tried);
+//   auto* connection = backends.Acquire(choice->server.id, false);
+//   connection->Send(handler, request);
+//   backends.Release(connection);  // after a complete answer, else Discard()
 #pragma once
 
 #include <functional>
@@ -34,12 +38,12 @@
 using net::Duration;
 using net::Time;
 
-// Who sent a request over a connection hears what becomes of it.
+// Receives the events of a request sent over a BackendConnection.
 class BackendHandler {
  public:
   virtual ~BackendHandler() = default;
   virtual void OnBackendConnected() = 0;
-  // False: this answer belongs to another request and is to be skipped.
+  // Returns false to skip an answer that belongs to another request.
   virtual bool OnBackendHead(const net::Head& head) = 0;
   virtual void OnBackendBody(std::string_view bytes) = 0;
   virtual void OnBackendEnd() = 0;
@@ -54,16 +58,16 @@
                     std::function<void(BackendConnection*)> on_idle_lost);
   ~BackendConnection() override;
 
-  // Sends a request; `user` hears the rest until Release() or Close().
-  void               Send(BackendHandler* user, std::string_view request);
+  // Sends a request; `handler` receives its events until Detach().
+  void               Send(BackendHandler* handler, std::string_view request);
   void               HoldReading(bool hold);
   bool               connected() const { return m_connected; }
-  bool               usable_again() const;
-  // Ends the use of the connection by its user.
+  bool               reusable() const;
+  // Removes the handler and marks the connection idle since `now`.
   void               Detach(Time now);
   void               Close();
   const std::string& server_id() const { return m_server_id; }
-  bool               FreshAt(Time now) const;
+  bool               ReusableAt(Time now) const;
 
   void OnConnected() override;
   void OnBytes(std::string_view bytes) override;
@@ -73,23 +77,23 @@
   void OnMessageEnd() override;
 
  private:
-  void Lose(traffic::SendFailureCause cause);
+  void Fail(traffic::SendFailureCause cause);
 
   net::EventLoop*                         m_loop;
   const Thresholds*                       m_thresholds;
   std::string                             m_server_id;
   std::function<void(BackendConnection*)> m_on_idle_lost;
-  pressure::MemoryCharge                  m_held_output;
+  pressure::MemoryCharge                  m_output_charge;
   net::Stream                             m_stream;
   net::HttpReader                         m_reader;
-  BackendHandler*                         m_user = nullptr;
+  BackendHandler*                         m_handler = nullptr;
   net::TimerId                            m_connect_timer = 0;
   bool                                    m_connected = false;
-  bool                                    m_skipping = false;
-  bool                                    m_ended = false;  // answer whole
+  bool                                    m_skipping_answer = false;
+  bool                                    m_answer_complete = false;
   bool                                    m_keep_alive = false;
-  bool                                    m_in_step = true;  // no bytes over
-  Duration                                m_max_idle = 0;
+  bool                                    m_in_sync = true;  // no surplus bytes
+  Duration                                m_max_idle_time = 0;
   Time                                    m_idle_since = 0;
 };
 
@@ -103,46 +107,46 @@
   void Update(const traffic::ServerListPtr& servers);
   struct Choice {
     traffic::BackendServer server;
-    double                 load = 0;  // requests per slot, as far as known
-    double                 failure_share = 0;  // of its latest answers
-    double                 slowdown = 1;       // in medians of its service
+    double                 load = 0;           // requests per slot
+    double                 failure_share = 0;  // of its recent answers
+    double                 slowdown = 1;       // 1: median of the service
   };
-  // What a server may have cached of a request.
+  // Identifies the part of a request that a server may have cached.
   struct Prompt {
-    std::string  session;  // requests of one line share a prompt; empty: none
-    std::string  program;  // lines of one program share its beginning
+    std::string  session;  // its requests share a prompt; empty: none
+    std::string  program;  // its sessions share a prompt prefix
     std::int64_t tokens = 0;
     double       memory_part = 0;  // see traffic::Candidate
   };
-  // The server for a request, or nothing. `avoid`: ids of servers that were
-  // tried.
+  // Chooses a server for a request; empty if none is usable. `avoid`: ids of
+  // servers already tried.
   std::optional<Choice> Choose(const std::string& service, const Prompt& prompt,
                                const std::vector<std::string>& avoid);
-  // What Choose() would say of this server; nothing if it is not listed.
+  // The server's state as a Choice; empty if it is not listed.
   std::optional<Choice> Find(const std::string& id) const;
-  bool                  AnyIn(const std::string&              service,
-                              const std::vector<std::string>& avoid) const;
+  bool                  HasUntried(const std::string&              service,
+                                   const std::vector<std::string>& avoid) const;
 
-  // A connection to the server, kept or new; nullptr if none can be made.
-  // `fresh`: a new one.
+  // An idle or new connection to the server; nullptr if none can be opened.
+  // `fresh`: always opens a new one.
   BackendConnection* Acquire(const std::string& id, bool fresh);
   void               Release(BackendConnection* connection);
   void               Discard(BackendConnection* connection);
 
-  void RememberSession(const std::string& line, const std::string& id);
+  void RememberSession(const std::string& session, const std::string& id);
   void ObserveSuccess(const std::string& id);
-  // The server could not be reached, broke off or answered nonsense.
+  // The server was unreachable, closed early or sent an invalid answer.
   void ObserveFailure(const std::string& id);
-  // A whole answer that says that the server failed, or did not want to.
+  // A complete answer reported a failure or refusal of the server.
   void ObserveBadAnswer(const std::string& id);
-  // How long a piece of work took there, in ms. `kind`: what it compares with,
-  // of this service.
+  // Records a service time (ms). Only work of the same `kind` and service is
+  // compared.
   void ObserveServiceTime(const std::string& id, std::string_view kind,
                           double took);
-  // Forgets what is old and rates servers anew; call about once a second.
+  // Drops expired state and updates slowdowns; call about once a second.
   void Sweep();
 
-  // A server turned slow, or fast again.
+  // A server became slow or recovered.
   struct SlowdownChange {
     std::string                server;
     std::string                service;
@@ -154,30 +158,31 @@
   capacity::ServiceCapacity   ComputeCapacity(
         const std::string& service, const traffic::EngineLimits& engine) const;
 
-  // What a node knows of a server and tells others.
+  // A node's observations of one server, as sent to its peers.
   struct ServerReport {
-    int                        requests = 0;  // under way there from the node
+    int                        requests = 0;  // in flight from the node
     traffic::OutcomeCounts     outcomes;
-    capacity::SlowdownEstimate slowdown;  // observed since it was told last
-    bool slowdown_changed = false;        // from what was told before
+    capacity::SlowdownEstimate slowdown;  // since the last report
+    bool slowdown_changed = false;        // since the last report
 
     bool operator==(const ServerReport& other) const;
   };
   using ServerReports = std::map<std::string, ServerReport>;  // by server
-  void SetPeerReport(const std::string& peer, const ServerReports& news);
+  void SetPeerReport(const std::string& peer, const ServerReports& reports);
   ServerReports LocalReport() const;
-  // What LocalReport() returned was sent. Leaves of it what holds on.
-  void          OnReportSent(ServerReports* news);
+  // Call after sending LocalReport(). Reduces `reports` to the state that
+  // remains valid until the next report.
+  void          OnReportSent(ServerReports* reports);
   std::size_t   connections() const { return m_connections.size(); }
   std::size_t   servers() const { return m_servers.size(); }
 
  private:
   struct State {
     explicit State(const capacity::SlowdownSettings& settings)
-        : pace(settings) {}
+        : slowdown(settings) {}
 
     traffic::BackendServer          server;
-    capacity::ServerSlowdown        pace;
+    capacity::ServerSlowdown        slowdown;
     bool                            listed = true;
     int                             load = 0;
     traffic::Outcomes               outcomes;
@@ -185,53 +190,54 @@
     Time                            failed_at = 0;
     std::vector<BackendConnection*> idle;
   };
-  struct LineHome {
+  struct SessionServer {
     std::string server;
     Time        used = 0;
   };
-  struct PeerNews {
-    ServerReports news;
-    Time          heard = 0;
+  struct PeerReport {
+    ServerReports reports;
+    Time          received_at = 0;
   };
   struct Service {
     traffic::ServerPool        pool;  // listed servers that are not leaving
-    capacity::SlowdownBaseline scale;
+    capacity::SlowdownBaseline baseline;
   };
   void         IndexServers();
-  void         RatePaces(Service* service);
+  void         UpdateSlowdowns(Service* service);
   const State* FindUsable(const std::string& id, const std::string& service,
                           const std::vector<std::string>& avoid) const;
-  // Candidates with nothing but their zone, and which one is warm.
-  std::vector<traffic::Candidate> CandidatesOf(
+  // Candidates with only zone and cache affinity set.
+  std::vector<traffic::Candidate> CandidatesFor(
       Service* service, const std::string& warm,
       const std::vector<std::string>& avoid);
-  // Fills in what is known of it.
-  void          Look(const State& state, traffic::Candidate* candidate) const;
-  // The server that most likely has the prompt cached; empty: none.
-  std::string   WarmFor(const std::string& service, const Service& servers,
-                        const Prompt&                   prompt,
-                        const std::vector<std::string>& avoid) const;
-  static Choice AsChoice(const traffic::Candidate& candidate);
-  // Keep the sum of what fresh news say of each server.
-  void          Count(const ServerReports& news);
-  void          Uncount(const ServerReports& news);
-  void          DropOldNews();
+  // Sets load, failures and slowdown.
+  void        FillObservations(const State&        state,
+                               traffic::Candidate* candidate) const;
+  // The server most likely to have the prompt cached; empty if none.
+  std::string WarmServerFor(const std::string& service, const Service& servers,
+                            const Prompt&                   prompt,
+                            const std::vector<std::string>& avoid) const;
+  static Choice ToChoice(const traffic::Candidate& candidate);
+  // Add a report to m_peer_totals, the sum of m_peers, or subtract it.
+  void          AddToTotals(const ServerReports& reports);
+  void          SubtractFromTotals(const ServerReports& reports);
+  void          DropExpiredReports();
   void          Destroy(BackendConnection* connection);
   void          DropIdle(State* state);
 
-  net::EventLoop*                               m_loop;
-  const Thresholds*                             m_thresholds;
-  std::string                                   m_zone;
-  std::unique_ptr<traffic::Placement>           m_placement;
-  pressure::MemoryBudgetPtr                     m_memory;
-  std::mt19937_64                               m_random;
-  std::unordered_map<std::string, State>        m_servers;   // by id
-  std::unordered_map<std::string, Service>      m_services;  // by name
-  std::vector<SlowdownChange>                   m_pace_changes;
-  std::unordered_map<std::string, LineHome>     m_lines;
-  std::unordered_map<std::string, PeerNews>     m_peers;
-  std::unordered_map<std::string, ServerReport> m_heard;  // sum of m_peers
-  Time                                          m_oldest_news = 0;
+  net::EventLoop*                                m_loop;
+  const Thresholds*                              m_thresholds;
+  std::string                                    m_zone;
+  std::unique_ptr<traffic::Placement>            m_placement;
+  pressure::MemoryBudgetPtr                      m_memory;
+  std::mt19937_64                                m_random;
+  std::unordered_map<std::string, State>         m_servers;   // by id
+  std::unordered_map<std::string, Service>       m_services;  // by name
+  std::vector<SlowdownChange>                    m_slowdown_changes;
+  std::unordered_map<std::string, SessionServer> m_sessions;
+  std::unordered_map<std::string, PeerReport>    m_peers;
+  std::unordered_map<std::string, ServerReport>  m_peer_totals;
+  Time                                           m_oldest_report = 0;
   std::unordered_map<BackendConnection*, std::unique_ptr<BackendConnection>>
       m_connections;
 };
--- a/src/yuccawick/gateway/client_connection.cc
+++ b/src/yuccawick/gateway/client_connection.cc
@@ -6,14 +6,14 @@
 namespace yuccawick::gateway {
 namespace {
 
-// A body may take this many times as long as a head.
-constexpr Duration kBodyPatience = 3;
+// Time limit of a body as a multiple of the time limit of a head.
+constexpr Duration kBodyTimeoutFactor = 3;
 
 net::HttpLimits LimitsOf(const traffic::ClientLimits& limits) {
   return {limits.max_head_bytes, limits.max_body_bytes};
 }
 
-// 0 for a body in chunks.
+// 0 for a chunked body.
 std::size_t DeclaredLength(const net::Headers& headers) {
   std::size_t        length = 0;
   const std::string* value = headers.Find("Content-Length");
@@ -23,7 +23,7 @@
   return length;
 }
 
-traffic::Refusal RefusalOf(net::HttpFault fault) {
+traffic::Refusal RefusalFor(net::HttpFault fault) {
   switch (fault) {
     case net::HttpFault::kHeadTooLarge:
       return traffic::Refusal::kHeadTooLarge;
@@ -41,11 +41,11 @@
                                    int fd)
     : m_parts(parts),
       m_host(host),
-      m_held_body(parts.memory, pressure::MemoryKind::kRequests),
-      m_held_output(parts.memory, pressure::MemoryKind::kToClients),
-      m_stream(parts.loop, this, fd, false, &m_held_output),
+      m_body_charge(parts.memory, pressure::MemoryKind::kRequests),
+      m_output_charge(parts.memory, pressure::MemoryKind::kToClients),
+      m_stream(parts.loop, this, fd, false, &m_output_charge),
       m_reader(net::HttpRole::kRequests, LimitsOf(host->Limits()), this) {
-  WatchTime();
+  RestartTimer();
 }
 
 ClientConnection::~ClientConnection() { m_parts.loop->Cancel(&m_timer); }
@@ -53,33 +53,33 @@
 void ClientConnection::OnBytes(std::string_view bytes) {
   if (m_lingering) return;
   m_input.append(bytes);
-  ReadOn();
+  ProcessInput();
 }
 
-void ClientConnection::ReadOn() {
-  // An exchange may end while it is started; the loop goes on with the next
-  // request then, so that no call is nested in another.
-  if (m_reading) return;
-  m_reading = true;
+void ClientConnection::ProcessInput() {
+  // An exchange may end within Start(), which calls this function again. The
+  // outer call handles the next request, so that the recursion is bounded.
+  if (m_processing) return;
+  m_processing = true;
   while (!m_exchange && !m_lingering && m_stream.is_open() &&
          m_stream.pending() == 0 && !m_input.empty()) {
     if (!m_reader.in_message()) {
-      m_request_began = m_parts.loop->now();
-      WatchTime();
+      m_request_start_time = m_parts.loop->now();
+      RestartTimer();
     }
-    const std::size_t taken = m_reader.Feed(m_input);
-    m_input.erase(0, taken);
+    const std::size_t consumed = m_reader.Feed(m_input);
+    m_input.erase(0, consumed);
     if (m_reader.fault()) {
-      Refuse(RefusalOf(*m_reader.fault()));
-    } else if (std::exchange(m_no_memory, false)) {
-      RefuseForMemory();
-    } else if (std::exchange(m_whole, false)) {
+      Refuse(RefusalFor(*m_reader.fault()));
+    } else if (std::exchange(m_out_of_memory, false)) {
+      RejectForMemory();
+    } else if (std::exchange(m_request_complete, false)) {
       StartExchange();
     }
   }
-  m_reading = false;
+  m_processing = false;
   if (m_input.empty()) m_input.shrink_to_fit();
-  // What it sends waits in the kernel until it has taken what waits for it.
+  // Further input stays in the kernel until the pending output is sent.
   if (m_stream.pending() > 0 && !m_lingering) {
     m_stream.SetReading(net::Reading::kWatchEnd);
   }
@@ -88,9 +88,9 @@
 void ClientConnection::OnHead(net::Head head) {
   m_head = std::move(head);
   m_body.clear();
-  WatchTime();
-  m_no_memory = !Reserve(DeclaredLength(m_head.headers));
-  if (m_no_memory) return;
+  RestartTimer();
+  m_out_of_memory = !ReserveBodyMemory(DeclaredLength(m_head.headers));
+  if (m_out_of_memory) return;
   m_body.reserve(DeclaredLength(m_head.headers));
   const std::string* expect = m_head.headers.Find("Expect");
   if (expect != nullptr && net::SameName(*expect, "100-continue")) {
@@ -99,44 +99,45 @@
 }
 
 void ClientConnection::OnBody(std::string_view bytes) {
-  if (m_no_memory) return;
+  if (m_out_of_memory) return;
   const std::size_t size = m_body.size() + bytes.size();
-  // Of a body in chunks the length is not known before.
-  if (pressure::kBodyCopies * size > m_held_body.bytes() && !Reserve(size)) {
-    m_no_memory = true;
+  // The length of a chunked body is not known in advance.
+  if (pressure::kBodyCopies * size > m_body_charge.bytes() &&
+      !ReserveBodyMemory(size)) {
+    m_out_of_memory = true;
     return;
   }
   m_body += bytes;
 }
 
-bool ClientConnection::Reserve(std::size_t body_bytes) {
-  if (!m_parts.memory->CanAcceptBody(body_bytes, m_held_body.bytes())) {
-    m_held_body.Set(0);
+bool ClientConnection::ReserveBodyMemory(std::size_t body_bytes) {
+  if (!m_parts.memory->CanAcceptBody(body_bytes, m_body_charge.bytes())) {
+    m_body_charge.Set(0);
     m_body = {};
     return false;
   }
-  m_held_body.Set(pressure::kBodyCopies * body_bytes);
+  m_body_charge.Set(pressure::kBodyCopies * body_bytes);
   return true;
 }
 
-void ClientConnection::OnMessageEnd() { m_whole = true; }
+void ClientConnection::OnMessageEnd() { m_request_complete = true; }
 
 void ClientConnection::StartExchange() {
   m_parts.loop->Cancel(&m_timer);
-  m_close_after = !m_head.keep_alive;
+  m_close_after_answer = !m_head.keep_alive;
   m_stream.SetReading(net::Reading::kWatchEnd);
-  m_held_body.Set(0);  // the exchange counts it from here on
+  m_body_charge.Set(0);  // the exchange accounts for it now
   m_exchange = std::make_shared<Exchange>(m_parts, this, m_host->Routes(),
                                           std::move(m_head), std::move(m_body));
   const auto exchange = m_exchange;
   exchange->Start();
 }
 
-void ClientConnection::RefuseForMemory() {
+void ClientConnection::RejectForMemory() {
   m_parts.loop->Cancel(&m_timer);
-  m_whole = false;
-  // The body is still to come, and other nodes have memory left.
-  m_close_after = true;
+  m_request_complete = false;
+  // The body is still unread, and other nodes may have memory.
+  m_close_after_answer = true;
   m_exchange = std::make_shared<Exchange>(m_parts, this, m_host->Routes(),
                                           std::move(m_head), std::string());
   const auto exchange = m_exchange;
@@ -153,7 +154,7 @@
 }
 
 bool ClientConnection::ClosesAfterAnswer() const {
-  return m_close_after || m_host->Closing();
+  return m_close_after_answer || m_host->Closing();
 }
 
 void ClientConnection::WriteToClient(std::string_view bytes) {
@@ -170,19 +171,19 @@
     Linger();
     return;
   }
-  WatchTime();
-  if (m_stream.pending() > 0) return;  // OnDrained() goes on
+  RestartTimer();
+  if (m_stream.pending() > 0) return;  // OnDrained() continues
   m_stream.SetReading(net::Reading::kOn);
-  ReadOn();
+  ProcessInput();
 }
 
 void ClientConnection::AnswerBroken() {
   m_parts.loop->Defer([exchange = std::move(m_exchange)] {});
   m_exchange = nullptr;
-  // The missing end of the chunked body already tells that the answer is not
-  // whole; the reset tells it at once.
+  // The missing last chunk already marks the answer as incomplete; the reset
+  // reports it without delay.
   m_stream.Reset();
-  Drop();
+  RemoveSelf();
 }
 
 void ClientConnection::OnDrained() {
@@ -190,8 +191,8 @@
     m_exchange->ClientDrained();
   } else if (!m_lingering) {
     m_stream.SetReading(net::Reading::kOn);
-    WatchTime();
-    ReadOn();
+    RestartTimer();
+    ProcessInput();
   }
 }
 
@@ -202,13 +203,13 @@
     return;
   }
   m_stream.Reset();
-  Drop();
+  RemoveSelf();
 }
 
 void ClientConnection::OnClosed(net::CloseCause /*cause*/) {
   const auto exchange = std::exchange(m_exchange, nullptr);
   if (exchange) exchange->OnClientDisconnected();
-  Drop();
+  RemoveSelf();
 }
 
 void ClientConnection::CloseIfIdle() {
@@ -217,34 +218,35 @@
     return;
   }
   m_stream.Close();
-  Drop();
+  RemoveSelf();
 }
 
-void ClientConnection::WatchTime() {
+void ClientConnection::RestartTimer() {
   m_parts.loop->Cancel(&m_timer);
   const traffic::ClientLimits limits = m_host->Limits();
   Duration                    limit = limits.idle_timeout;
   if (m_stream.pending() > 0) {
     limit = m_parts.thresholds->reader_patience;
   } else if (m_reader.in_body()) {
-    limit = limits.head_timeout * kBodyPatience;
-  } else if (m_request_began == m_parts.loop->now()) {
+    limit = limits.head_timeout * kBodyTimeoutFactor;
+  } else if (m_request_start_time == m_parts.loop->now()) {
     limit = limits.head_timeout;
   }
   m_timer = m_parts.loop->After(limit, [this] {
     m_timer = 0;
-    TimeUp();
+    OnTimeout();
   });
 }
 
-void ClientConnection::TimeUp() {
-  const bool reads = m_stream.pending() > 0 &&
-                     m_stream.stalled() < m_parts.thresholds->reader_patience;
-  if (reads) {
-    WatchTime();
+void ClientConnection::OnTimeout() {
+  const bool is_reading =
+      m_stream.pending() > 0 &&
+      m_stream.stalled() < m_parts.thresholds->reader_patience;
+  if (is_reading) {
+    RestartTimer();
   } else if (!m_reader.in_message()) {
     m_stream.Close();
-    Drop();
+    RemoveSelf();
   } else {
     Refuse(traffic::Refusal::kTooSlow);
   }
@@ -254,16 +256,16 @@
   m_lingering = true;
   m_input = {};
   m_body = {};
-  m_held_body.Set(0);
+  m_body_charge.Set(0);
   m_stream.EndWriting();
   m_parts.loop->Cancel(&m_timer);
   m_timer = m_parts.loop->After(m_parts.thresholds->linger, [this] {
     m_timer = 0;
     m_stream.Close();
-    Drop();
+    RemoveSelf();
   });
 }
 
-void ClientConnection::Drop() { m_host->Forget(this); }
+void ClientConnection::RemoveSelf() { m_host->RemoveConnection(this); }
 
 }  // namespace yuccawick::gateway
--- a/src/yuccawick/gateway/client_connection.h
+++ b/src/yuccawick/gateway/client_connection.h
@@ -1,10 +1,10 @@
-// A client's connection: reads requests one after the other, hands each whole
-// request to an Exchange, and writes what it answers.
+// An HTTP/1.1 connection of a client: reads requests one at a time, passes each
+// complete request to an Exchange, and writes the answer. Gateway owns it.
 //
-// Memory is bounded: one request's body up to the manifest's limit, and only if
-// the node's budget has room for it; no reading while an exchange is under way
-// or while the client has not taken the answer before. A client that goes away
-// is noticed then too.
+// Memory per connection is bounded: a body is accepted only within the limit of
+// the manifest and the node's memory budget, and nothing is read while an
+// exchange is running or its answer is still unsent. The end of the connection
+// is detected in these states too.
 #pragma once
 
 #include <functional>
@@ -16,15 +16,15 @@
 
 namespace yuccawick::gateway {
 
-// What the connection needs to know of its node.
+// The connection's owner; implemented by Gateway.
 class ClientHost {
  public:
   virtual ~ClientHost() = default;
   virtual std::shared_ptr<const traffic::RouteTable> Routes() const = 0;
   virtual traffic::ClientLimits                      Limits() const = 0;
-  // The balancer sends nobody here any more: connections end with the answer.
+  // Whether connections close after the current answer.
   virtual bool                                       Closing() const = 0;
-  virtual void Forget(class ClientConnection* connection) = 0;
+  virtual void RemoveConnection(class ClientConnection* connection) = 0;
 };
 
 class ClientConnection final : public net::StreamOwner,
@@ -35,13 +35,13 @@
   ~ClientConnection() override;
 
   bool                   busy() const { return m_exchange != nullptr; }
-  // Ends a connection that rests between two requests.
+  // Closes the connection if it is between two requests.
   void                   CloseIfIdle();
-  // What waits for the client, and since when it has taken nothing of it.
+  // Unsent bytes, and how long (ms) the client has read nothing.
   pressure::ClientBuffer buffer() const {
     return {m_stream.pending(), m_stream.stalled()};
   }
-  // Cuts off a client that does not take its answer.
+  // Aborts the connection of a client that does not read its answer.
   void DropClient();
 
   void OnBytes(std::string_view bytes) override;
@@ -59,33 +59,33 @@
   bool        ClosesAfterAnswer() const override;
 
  private:
-  void ReadOn();
+  void ProcessInput();
   void StartExchange();
-  // Reserves memory for the body; false if the node has none left for it.
-  bool Reserve(std::size_t body_bytes);
-  void RefuseForMemory();
-  // Answers bytes that no exchange can be made of, and ends the connection.
+  // Reserves memory for the body; false if the node's budget is used up.
+  bool ReserveBodyMemory(std::size_t body_bytes);
+  void RejectForMemory();
+  // Answers input that is no valid request, and closes the connection.
   void Refuse(traffic::Refusal refusal);
-  void WatchTime();
-  void TimeUp();
+  void RestartTimer();
+  void OnTimeout();
   void Linger();
-  void Drop();
+  void RemoveSelf();
 
   GatewayParts              m_parts;
   ClientHost*               m_host;
-  pressure::MemoryCharge    m_held_body;
-  pressure::MemoryCharge    m_held_output;
+  pressure::MemoryCharge    m_body_charge;
+  pressure::MemoryCharge    m_output_charge;
   net::Stream               m_stream;
   net::HttpReader           m_reader;
-  std::string               m_input;  // read and not yet taken
+  std::string               m_input;  // received and not yet parsed
   net::Head                 m_head;
   std::string               m_body;
-  bool                      m_whole = false;  // a request waits to be started
-  bool                      m_no_memory = false;  // for the request being read
-  bool                      m_close_after = false;
+  bool                      m_request_complete = false;  // ready to start
+  bool                      m_out_of_memory = false;  // for the current request
+  bool                      m_close_after_answer = false;
   bool                      m_lingering = false;
-  bool                      m_reading = false;  // inside ReadOn()
-  Time                      m_request_began = 0;
+  bool                      m_processing = false;  // inside ProcessInput()
+  Time                      m_request_start_time = 0;
   net::TimerId              m_timer = 0;
   std::shared_ptr<Exchange> m_exchange;
 };
--- a/src/yuccawick/gateway/exchange.cc
+++ b/src/yuccawick/gateway/exchange.cc
@@ -4,8 +4,8 @@
 #include <array>
 #include <utility>
 
-// Index: Sending, Ending. What comes before is in exchange_prepare.cc, what
-// comes back in exchange_answer.cc.
+// Sending a request and ending an exchange. See exchange_prepare.cc for the
+// steps before and exchange_answer.cc for the answer.
 
 namespace yuccawick::gateway {
 namespace {
@@ -19,8 +19,8 @@
 
 constexpr double kPercent = 100.0;
 
-// Refusals that end with an outage of the log.
-bool NeedsLog(Refusal refusal) {
+// Refusals caused by an outage of the log.
+bool IsLogOutage(Refusal refusal) {
   switch (refusal) {
     case Refusal::kLogAway:
     case Refusal::kHistoryUnsure:
@@ -45,14 +45,14 @@
       m_head(std::move(head)),
       m_body(std::move(body)),
       m_phase(traffic::GetAttemptChart().Start()),
-      m_began(parts.loop->now()),
-      m_held(parts.memory, pressure::MemoryKind::kRequests) {
-  CountHeld();
+      m_start_time(parts.loop->now()),
+      m_memory_charge(parts.memory, pressure::MemoryKind::kRequests) {
+  UpdateMemoryCharge();
 }
 
 Exchange::~Exchange() {
   m_parts.loop->Cancel(&m_timer);
-  m_parts.loop->Cancel(&m_patience_timer);
+  m_parts.loop->Cancel(&m_wait_timer);
 }
 
 bool Exchange::Fire(AttemptEvent event) {
@@ -65,15 +65,16 @@
   return moved;
 }
 
-void Exchange::CountHeld() {
-  m_held.Set(m_body.size() + m_chain.size() + m_plain.size() + m_output.size());
+void Exchange::UpdateMemoryCharge() {
+  m_memory_charge.Set(m_body.size() + m_prompt_body.size() +
+                      m_plain_body.size() + m_output.size());
 }
 
-Duration Exchange::Left() const { return m_due - m_parts.loop->now(); }
+Duration Exchange::TimeLeft() const { return m_deadline - m_parts.loop->now(); }
 
-std::optional<Duration> Exchange::ProgramLeft() const {
+std::optional<Duration> Exchange::ProgramTimeLeft() const {
   if (!m_info.program_left) return std::nullopt;
-  return *m_info.program_left - (m_parts.loop->now() - m_began);
+  return *m_info.program_left - (m_parts.loop->now() - m_start_time);
 }
 
 int Exchange::Priority() const {
@@ -83,24 +84,24 @@
   return m_route->priority;
 }
 
-std::string Exchange::LineKey() const {
+std::string Exchange::SessionKey() const {
   if (!m_route->prefix_affinity) return {};
-  return InScope(m_info.program + "/" + m_info.session);
+  return ScopedId(m_info.program + "/" + m_info.session);
 }
 
 // Sending --------------------------------------------------------------------
 
-// Asked at each send: while a request waited, or its node was frozen, its key
-// may have been taken away.
-bool Exchange::KeyHolds() {
+// Called before each send: the key may have been revoked while the request
+// waited or the process was suspended.
+bool Exchange::EnsureKeyValid() {
   if (m_workspace == nullptr) return true;
   const auto& newest = (*m_parts.routes)->manifest()->workspaces;
   const bool  known = !newest || newest->FindByKey(m_info.key) != nullptr;
   const bool  sure = m_parts.key_lease->Holds(m_parts.loop->ReadClock());
   if (known && sure) return true;
-  if (m_passed_head) {
-    CutOff("key_gone");
-  } else if (m_in_doubt) {
+  if (m_head_forwarded) {
+    AbortAnswer("key_gone");
+  } else if (m_may_have_run) {
     Refuse(Refusal::kServerFailed);
   } else {
     Refuse(known ? Refusal::kKeyUnsure : Refusal::kUnknownKey);
@@ -108,7 +109,7 @@
   return false;
 }
 
-double Exchange::MemoryPart() const {
+double Exchange::PromptMemoryPart() const {
   const auto* service = m_routes->manifest()->FindService(m_service);
   if (service == nullptr || !service->engine) return 0;
   const traffic::EngineLimits& engine = *service->engine;
@@ -118,43 +119,44 @@
 }
 
 void Exchange::Dispatch() {
-  const auto choice = m_parts.backends->Choose(
-      m_service,
-      {LineKey(), InScope(m_info.program), m_info.prompt_tokens, MemoryPart()},
-      m_tried);
+  const auto choice =
+      m_parts.backends->Choose(m_service,
+                               {SessionKey(), ScopedId(m_info.program),
+                                m_info.prompt_tokens, PromptMemoryPart()},
+                               m_tried_servers);
   if (!choice) {
-    Refuse(m_in_doubt ? Refusal::kServerFailed : Refusal::kNoServer);
+    Refuse(m_may_have_run ? Refusal::kServerFailed : Refusal::kNoServer);
   } else {
-    SendTo(*choice, m_repeats > 0);
+    SendTo(*choice, m_resends > 0);
   }
 }
 
 void Exchange::SendTo(const Backends::Choice& choice, bool fresh) {
-  if (!KeyHolds()) return;
+  if (!EnsureKeyValid()) return;
   const traffic::BackendServer& server = choice.server;
   m_server_id = server.id;
   m_has_answer = false;
   m_events = {};
-  m_plain.clear();
-  m_last_event_at = 0;
-  m_found_free = choice.load < 1.0;
-  CountHeld();
+  m_plain_body.clear();
+  m_last_event_time = 0;
+  m_had_free_slot = choice.load < 1.0;
+  UpdateMemoryCharge();
   m_connection = m_parts.backends->Acquire(server.id, fresh);
   if (m_connection == nullptr) {
-    Lost(SendFailureCause::kNotConnected);
+    OnSendFailed(SendFailureCause::kNotConnected);
     return;
   }
   platform::Forwarding forwarding;
   forwarding.server = &server;
-  forwarding.left = std::max<Duration>(1, Left());
+  forwarding.left = std::max<Duration>(1, TimeLeft());
   const bool is_model = m_route->kind == RequestKind::kStreaming;
   forwarding.urgency =
-      is_model ? traffic::ComputeUrgency(Priority(), ProgramLeft()) : -1;
+      is_model ? traffic::ComputeUrgency(Priority(), ProgramTimeLeft()) : -1;
   forwarding.has_workspaces = m_routes->manifest()->workspaces.has_value();
   if (m_workspace != nullptr) forwarding.workspace = m_workspace->name;
   forwarding.last_event =
-      m_last_event.empty() ? m_info.last_event : m_last_event;
-  forwarding.body_bytes = m_chain.size();
+      m_last_event_id.empty() ? m_info.last_event : m_last_event_id;
+  forwarding.body_bytes = m_prompt_body.size();
   m_parts.log->Write(
       LogEvent::kSent,
       {{"request", m_info.attempt},
@@ -163,31 +165,32 @@
        {"load_per_slot_pct", static_cast<int>(choice.load * kPercent)},
        {"failures_pct", static_cast<int>(choice.failure_share * kPercent)},
        {"pace_pct", static_cast<int>(choice.slowdown * kPercent)},
-       {"repeats", m_repeats},
+       {"repeats", m_resends},
        {"tokens_counted_by", m_reservation.coordinator},
        {"after_event", forwarding.last_event},
        {"left_ms", forwarding.left}});
-  // An earlier send may have run, and counts beside this one.
-  if (m_in_doubt && m_rate_token) m_parts.limiter->Charge(m_workspace->name);
+  // The earlier send may have run, so both count against the rate limit.
+  if (m_may_have_run && m_rate_token)
+    m_parts.limiter->Charge(m_workspace->name);
   const bool connected = m_connection->connected();
-  m_connection->Send(this,
-                     platform::EncodeRequest(m_head, forwarding) + m_chain);
+  m_connection->Send(
+      this, platform::EncodeRequest(m_head, forwarding) + m_prompt_body);
   if (connected) OnBackendConnected();
 }
 
 void Exchange::OnBackendConnected() {
-  m_sent_at = m_parts.loop->now();
-  if (std::find(m_sent_to.begin(), m_sent_to.end(), m_server_id) ==
-      m_sent_to.end()) {
-    m_sent_to.push_back(m_server_id);
+  m_sent_time = m_parts.loop->now();
+  if (std::find(m_sent_servers.begin(), m_sent_servers.end(), m_server_id) ==
+      m_sent_servers.end()) {
+    m_sent_servers.push_back(m_server_id);
   }
   Fire(AttemptEvent::kConnected);
 }
 
-void Exchange::LeaveServer(bool keep) {
+void Exchange::DetachServer(bool reuse) {
   BackendConnection* connection = std::exchange(m_connection, nullptr);
   if (connection == nullptr) return;
-  if (keep) {
+  if (reuse) {
     m_parts.backends->Release(connection);
   } else {
     m_parts.backends->Discard(connection);
@@ -195,35 +198,37 @@
 }
 
 void Exchange::OnBackendFailed(SendFailureCause cause) {
-  LeaveServer(false);
+  DetachServer(false);
   m_parts.backends->ObserveFailure(m_server_id);
-  Lost(cause);
+  OnSendFailed(cause);
 }
 
-void Exchange::Lost(SendFailureCause cause) {
+void Exchange::OnSendFailed(SendFailureCause cause) {
   const auto self = shared_from_this();
   m_parts.metrics->CountSendFailure(cause);
-  m_tried.push_back(m_server_id);
+  m_tried_servers.push_back(m_server_id);
   if (cause == SendFailureCause::kBroken ||
       cause == SendFailureCause::kBadAnswer) {
-    m_in_doubt = true;
+    m_may_have_run = true;
   }
-  traffic::SendFailure loss;
-  loss.cause = cause;
-  loss.servers_sent = static_cast<int>(m_sent_to.size());
-  loss.repeats = m_repeats;
-  loss.in_doubt = m_in_doubt;
-  loss.answering = m_passed_head;
-  loss.other_server = m_parts.backends->AnyIn(m_service, m_tried);
-  loss.left = Left();
-  const NextStep step = traffic::DecideNextStep(*m_route, loss);
-  m_parts.log->Write(LogEvent::kLoss, {{"request", m_info.attempt},
-                                       {"server", m_server_id},
-                                       {"cause", Name(cause)},
-                                       {"events_passed", m_event_count},
-                                       {"in_doubt", m_in_doubt ? "yes" : "no"},
-                                       {"left_ms", loss.left},
-                                       {"next", Name(step)}});
+  traffic::SendFailure failure;
+  failure.cause = cause;
+  failure.servers_sent = static_cast<int>(m_sent_servers.size());
+  failure.repeats = m_resends;
+  failure.in_doubt = m_may_have_run;
+  failure.answering = m_head_forwarded;
+  failure.other_server =
+      m_parts.backends->HasUntried(m_service, m_tried_servers);
+  failure.left = TimeLeft();
+  const NextStep step = traffic::DecideNextStep(*m_route, failure);
+  m_parts.log->Write(LogEvent::kLoss,
+                     {{"request", m_info.attempt},
+                      {"server", m_server_id},
+                      {"cause", Name(cause)},
+                      {"events_passed", m_event_count},
+                      {"in_doubt", m_may_have_run ? "yes" : "no"},
+                      {"left_ms", failure.left},
+                      {"next", Name(step)}});
   switch (step) {
     case NextStep::kOtherServer:
     case NextStep::kSameServer:
@@ -238,13 +243,13 @@
       Refuse(Refusal::kServerFailed);
       break;
     case NextStep::kCutOff:
-      CutOff(Name(cause));
+      AbortAnswer(Name(cause));
       break;
   }
 }
 
 void Exchange::SendAgain(NextStep step) {
-  ++m_repeats;
+  ++m_resends;
   if (!Fire(AttemptEvent::kSendAgain)) return;
   if (step == NextStep::kOtherServer) {
     Dispatch();
@@ -252,7 +257,7 @@
   }
   const auto same = m_parts.backends->Find(m_server_id);
   if (!same) {
-    // It has ended meanwhile, so another one costs the route nothing.
+    // The server has been removed meanwhile, so another one may be used.
     Dispatch();
     return;
   }
@@ -261,15 +266,16 @@
 
 // Ending ---------------------------------------------------------------------
 
-void Exchange::OutOfTime() {
+void Exchange::OnDeadline() {
   const auto self = shared_from_this();
   if (m_client == nullptr) return;
-  const bool sent = m_in_doubt || m_phase == AttemptPhase::kSent ||
+  const bool sent = m_may_have_run || m_phase == AttemptPhase::kSent ||
                     m_phase == AttemptPhase::kAnswering;
-  if (sent && !m_passed_head) m_parts.backends->ObserveBadAnswer(m_server_id);
-  LeaveServer(false);
-  if (m_passed_head) {
-    CutOff("out_of_time");
+  if (sent && !m_head_forwarded)
+    m_parts.backends->ObserveBadAnswer(m_server_id);
+  DetachServer(false);
+  if (m_head_forwarded) {
+    AbortAnswer("out_of_time");
   } else {
     Refuse(sent ? Refusal::kLateSent : Refusal::kLateUnsent);
   }
@@ -284,53 +290,54 @@
                       limits.outage_return);
   }
   if (refusal == Refusal::kOverLimit) {
-    mean = std::max(m_limit_return, limits.return_delay);
+    mean = std::max(m_rate_retry_delay, limits.return_delay);
   }
   if (refusal == Refusal::kNoRoom) mean = m_reservation.retry_delay;
-  if (NeedsLog(refusal)) {
-    const auto away = OutageAge();
-    if (away && *away >= limits.log_wait && m_due > 0) {
-      return traffic::OutageRetryDelay(Left(), Draw());
+  if (IsLogOutage(refusal)) {
+    const auto outage = OutageAge();
+    if (outage && *outage >= limits.log_wait && m_deadline > 0) {
+      return traffic::OutageRetryDelay(TimeLeft(), UniformRandom());
     }
     mean = std::clamp(m_parts.peers->LongestOutage(), limits.return_delay,
                       limits.outage_return);
   }
-  // Spread over half to one and a half of the mean: clients refused together
-  // would otherwise come back together.
-  return static_cast<Duration>(static_cast<double>(mean) * (0.5 + Draw()));
+  // Jitter of 0.5 to 1.5 times the mean, so that clients refused together do
+  // not retry together.
+  return static_cast<Duration>(static_cast<double>(mean) *
+                               (0.5 + UniformRandom()));
 }
 
 void Exchange::Refuse(Refusal refusal) {
   const auto self = shared_from_this();
-  LeaveServer(false);
+  DetachServer(false);
   m_parts.metrics->CountRefusal(refusal);
-  const Duration again = RetryAfter(refusal);
+  const Duration retry_after = RetryAfter(refusal);
   m_parts.log->Write(LogEvent::kRefused,
                      {{"request", m_info.attempt},
                       {"program", m_info.program},
                       {"reason", Name(refusal)},
                       {"status", Status(refusal)},
                       {"phase", Name(m_phase)},
-                      {"retry_after_ms", again},
+                      {"retry_after_ms", retry_after},
                       {"tokens_counted_by", m_reservation.coordinator},
-                      {"took_ms", m_parts.loop->now() - m_began}});
+                      {"took_ms", m_parts.loop->now() - m_start_time}});
   const bool close =
       refusal == Refusal::kMalformed || m_client->ClosesAfterAnswer();
   m_client->WriteToClient(platform::EncodeOwnAnswer(
-      Status(refusal), Name(refusal), m_info.attempt, again, close));
+      Status(refusal), Name(refusal), m_info.attempt, retry_after, close));
   ClientSide* client = m_client;
   End();
   client->AnswerDone();
 }
 
-void Exchange::CutOff(std::string_view why) {
+void Exchange::AbortAnswer(std::string_view why) {
   const auto self = shared_from_this();
-  LeaveServer(false);
+  DetachServer(false);
   m_parts.log->Write(LogEvent::kCutOff,
                      {{"request", m_info.attempt},
                       {"why", why},
                       {"events", m_event_count},
-                      {"took_ms", m_parts.loop->now() - m_began}});
+                      {"took_ms", m_parts.loop->now() - m_start_time}});
   ClientSide* client = m_client;
   End();
   client->AnswerBroken();
@@ -342,19 +349,19 @@
                      {{"request", m_info.attempt},
                       {"phase", Name(m_phase)},
                       {"server", m_server_id},
-                      {"took_ms", m_parts.loop->now() - m_began}});
-  // Closing the connection is how a server learns that nobody waits any more.
-  LeaveServer(false);
+                      {"took_ms", m_parts.loop->now() - m_start_time}});
+  // Closing the connection cancels the request at the server.
+  DetachServer(false);
   End();
 }
 
 void Exchange::End() {
   m_client = nullptr;
   m_parts.loop->Cancel(&m_timer);
-  m_parts.loop->Cancel(&m_patience_timer);
+  m_parts.loop->Cancel(&m_wait_timer);
   if (m_phase != AttemptPhase::kDone) Fire(AttemptEvent::kFinish);
-  m_parts.gate->Release(&m_gate_id);
-  if (m_rate_token && m_rate_token->tokens > 0 && m_sent_to.empty()) {
+  m_parts.dispatcher->Release(&m_dispatch_id);
+  if (m_rate_token && m_rate_token->tokens > 0 && m_sent_servers.empty()) {
     m_parts.limiter->Refund(m_workspace->name, *m_rate_token);
   }
   m_rate_token.reset();
--- a/src/yuccawick/gateway/exchange.h
+++ b/src/yuccawick/gateway/exchange.h
@@ -1,14 +1,16 @@
-// One client attempt, from its whole request to the end of its answer.
+// Serves one attempt of a client, from the complete request to the end of the
+// answer. ClientConnection creates an Exchange for each request; the decisions
+// on retries and refusals come from traffic/attempt.h.
 //
-//   preparing   history is looked up, tokens are reserved
-//   connecting  a backend server is chosen
-//   sent        the request is out
-//   answering   the answer flows to the client
-//   recording   the answer is whole but its last bytes wait until the turn is
-//               durable: a client that saw the end may name the turn at once
+//   preparing   checks the key, looks up history, reserves tokens
+//   connecting  chooses a backend server and connects to it
+//   sent        waits for the server's answer
+//   answering   forwards the answer to the client
+//   recording   holds back the last bytes until the turn is durable, because
+//               the client may name the turn as soon as it has seen the end
 //
-// An Exchange carries out what traffic/attempt.h decides. It ends exactly once,
-// by telling its client how.
+// An exchange ends exactly once, with AnswerDone() or AnswerBroken(), or when
+// the client disconnects.
 #pragma once
 
 #include <memory>
@@ -31,20 +33,20 @@
 
 namespace yuccawick::gateway {
 
-// The connection to the client, as an exchange sees it.
+// The client side of an exchange, implemented by ClientConnection.
 class ClientSide {
  public:
   virtual ~ClientSide() = default;
   virtual void        WriteToClient(std::string_view bytes) = 0;
-  virtual std::size_t ClientBacklog() const = 0;  // bytes not yet taken
-  // The answer is complete; the connection may carry another request.
+  virtual std::size_t ClientBacklog() const = 0;  // unsent bytes
+  // The answer is complete; the connection may serve another request.
   virtual void        AnswerDone() = 0;
-  // The answer cannot be completed; the client must see that.
+  // The answer cannot be completed; resets the connection.
   virtual void        AnswerBroken() = 0;
   virtual bool        ClosesAfterAnswer() const = 0;
 };
 
-// What all exchanges of a node share.
+// Services of the node that all exchanges share; not owned.
 struct GatewayParts {
   net::EventLoop*   loop = nullptr;
   const Thresholds* thresholds = nullptr;
@@ -53,12 +55,12 @@
   PeerService*      peers = nullptr;
   Log*              log = nullptr;
   Metrics*          metrics = nullptr;
-  Time              started = 0;  // of the node, on the loop's clock
-  // Of the manifest in force, which may be newer than a request's.
+  Time              started = 0;  // start of the node (ms, loop clock)
+  // Routes of the current manifest, which may be newer than a request's.
   const std::shared_ptr<const traffic::RouteTable>* routes = nullptr;
   const workspaces::KeyLease*                       key_lease = nullptr;
   RateLimiter*                                      limiter = nullptr;
-  TurnDispatcher*                                   gate = nullptr;
+  TurnDispatcher*                                   dispatcher = nullptr;
   pressure::MemoryBudgetPtr                         memory;
 };
 
@@ -71,11 +73,11 @@
   ~Exchange() override;
 
   void Start();
-  // In place of Start(): refuses a request that is not to be served at all.
+  // Called instead of Start() to refuse the request without serving it.
   void Reject(traffic::Refusal refusal);
   void OnClientDisconnected();
-  // The node needs the memory of an answer that its client does not take.
-  void OnClientStalled() { CutOff("reader_stalled"); }
+  // Aborts the answer of a client that does not read it, to free memory.
+  void OnClientStalled() { AbortAnswer("reader_stalled"); }
   void ClientDrained();
 
   void OnBackendConnected() override;
@@ -88,121 +90,121 @@
   // Preparing
   bool   CheckRequest();
   void   StartTimer();
-  void   AwaitKey();
+  void   WaitForKeyLease();
   bool   CheckKey();
-  void   AwaitToken();
-  void   AwaitLog();
+  void   AcquireRateToken();
+  void   WaitForLog();
   void   FindHistory();
   void   ReserveTokens();
-  // Adds what the turn wants of model servers; nothing if they have no engine.
-  void   AskForRoom(TurnBudget* turn) const;
-  void   TakeReservation(const Reservation& reservation);
-  void   Prepared();
-  void   AwaitServers();
+  // Fills in the turn's demand; no effect if the service has no engine.
+  void   FillAdmissionRequest(TurnBudget* turn) const;
+  void   OnReservation(const Reservation& reservation);
+  void   OnPrepared();
+  void   EnqueueTurn();
   // Sending
   void   Dispatch();
-  // What its prompt takes of the memory that a server has for a slot.
-  double MemoryPart() const;
-  // Whether the request's key still holds; ends the exchange if not.
-  bool   KeyHolds();
+  // Prompt size relative to a slot's share of the server's cache.
+  double PromptMemoryPart() const;
+  // Ends the exchange and returns false if the key is no longer valid.
+  bool   EnsureKeyValid();
   void   SendTo(const Backends::Choice& choice, bool fresh);
-  void   LeaveServer(bool keep);
-  void   Lost(traffic::SendFailureCause cause);
+  void   DetachServer(bool reuse);
+  void   OnSendFailed(traffic::SendFailureCause cause);
   void   SendAgain(traffic::NextStep step);
   // Answering
-  // Its status and headers are those of an answer to this request.
-  bool   IsSound() const;
-  void   PassEvents(std::string_view bytes);
-  void   NoteEvents(std::int64_t before);
-  void   PassPlain();
+  // The answer's status and headers belong to this request.
+  bool   IsAnswerValid() const;
+  void   ForwardEvents(std::string_view bytes);
+  void   ObserveEventTimes(std::int64_t before);
+  void   ForwardPlain();
   void   WriteAnswer(std::string_view bytes);
   void   BeginAnswer(std::int64_t length);
   void   EndStream();
-  void   NoteOutcome();
+  void   ObserveOutcome();
   void   EndPlain();
   void   RecordTurn();
   void   FinishAnswer(std::string_view last_bytes);
   // Ending
-  void   OutOfTime();
+  void   OnDeadline();
   void   Refuse(traffic::Refusal refusal);
-  void   CutOff(std::string_view why);
+  void   AbortAnswer(std::string_view why);
   void   End();
 
-  static double           Draw();  // uniform in [0, 1)
-  Duration                Left() const;
-  // Until its program should be finished, if it says.
-  std::optional<Duration> ProgramLeft() const;
-  // How long the log has answered no node; nothing: it answers some.
+  static double           UniformRandom();  // uniform in [0, 1)
+  Duration                TimeLeft() const;
+  // Time until the program's deadline, if the client gave one.
+  std::optional<Duration> ProgramTimeLeft() const;
+  // How long no node has reached the log; empty while any node does.
   std::optional<Duration> OutageAge() const;
-  // How long it waits in all, from its start on, for what needs the log.
-  Duration                LogPatience() const;
-  // Whether to wait on for the log.
-  bool                    WaitsOn();
-  // What is left of the time that this attempt may wait before it is sent.
-  Duration                PatienceLeft() const;
-  void                    OutOfPatience();
+  // Total time that the request may wait for the log, from its start.
+  Duration                MaxLogWait() const;
+  // Whether the request may wait for the log for another interval.
+  bool                    MayWaitLonger();
+  // Remaining time that the attempt may wait before it is sent.
+  Duration                WaitTimeLeft() const;
+  void                    OnWaitTimeout();
   Duration                RetryAfter(traffic::Refusal refusal) const;
-  // Of its workspace, or else of its route; 0 is first.
+  // Of the workspace, or else of the route; 0 is the highest.
   int                     Priority() const;
-  std::string             LineKey() const;
-  std::string             InScope(const std::string& id) const {
+  std::string             SessionKey() const;
+  std::string             ScopedId(const std::string& id) const {
                 return workspaces::Scoped(m_workspace, id);
   }
   bool Fire(traffic::AttemptEvent event);
-  void CountHeld();  // call after what it keeps of bodies has changed
+  void UpdateMemoryCharge();  // call after a buffered body changed
 
   GatewayParts                               m_parts;
-  ClientSide*                                m_client;  // nullptr: ended
+  ClientSide*                                m_client;  // nullptr once ended
   std::shared_ptr<const traffic::RouteTable> m_routes;
   net::Head                                  m_head;
   std::string                                m_body;
   traffic::RequestInfo                       m_info;
   const traffic::Route*                      m_route = nullptr;
-  const workspaces::Workspace* m_workspace = nullptr;  // nullptr: none
+  const workspaces::Workspace* m_workspace = nullptr;  // nullptr if none
   std::string                  m_service;
   traffic::AttemptPhase        m_phase;
-  Time                         m_began = 0;
-  Time                         m_due = 0;  // given up then
-  net::TimerId                 m_timer = 0;
-  net::TimerId                 m_patience_timer = 0;
-  Duration                     m_log_patience = 0;  // the longest so far
-  // What it waits for, as its client is told if it waits too long.
-  traffic::Refusal             m_awaits = traffic::Refusal::kLateUnsent;
-  TurnDispatcher::Id           m_gate_id = 0;  // of a turn for a model server
-  // Of its workspace's rate limit.
+  Time                         m_start_time = 0;
+  Time               m_deadline = 0;  // end of the attempt (ms, loop clock)
+  net::TimerId       m_timer = 0;
+  net::TimerId       m_wait_timer = 0;
+  Duration           m_max_log_wait = 0;  // longest so far (ms)
+  // Refusal sent if the current wait takes too long.
+  traffic::Refusal   m_wait_refusal = traffic::Refusal::kLateUnsent;
+  TurnDispatcher::Id m_dispatch_id = 0;  // 0 if not queued
+  // Token of the workspace's rate limit.
   std::optional<workspaces::TokenPool::Batch> m_rate_token;
-  Duration         m_limit_return = 0;  // ms until its workspace may have room
-  bool             m_reserved = false;
-  Reservation      m_reservation;
-  programs::Tokens m_tokens_used = 0;
-  std::string      m_chain;  // body for the server
+  Duration                                    m_rate_retry_delay = 0;  // ms
+  bool                                        m_reserved = false;
+  Reservation                                 m_reservation;
+  programs::Tokens                            m_tokens_used = 0;
+  std::string                                 m_prompt_body;  // for the server
 
-  pressure::MemoryCharge m_held;
+  pressure::MemoryCharge m_memory_charge;
 
-  // The server at hand, and those before it.
+  // The current server and those tried before.
   BackendConnection*       m_connection = nullptr;
   std::string              m_server_id;
-  std::vector<std::string> m_tried;
-  std::vector<std::string> m_sent_to;
-  int                      m_repeats = 0;
-  bool                     m_in_doubt = false;
+  std::vector<std::string> m_tried_servers;
+  std::vector<std::string> m_sent_servers;
+  int                      m_resends = 0;
+  bool                     m_may_have_run = false;
 
   // The answer.
   net::Head              m_answer;
   traffic::AnswerInfo    m_answer_info;
-  bool                   m_has_answer = false;  // a head of this send came
-  bool                   m_passed_head = false;
+  bool                   m_has_answer = false;  // head of this send received
+  bool                   m_head_forwarded = false;
   bool                   m_is_stream = false;
-  std::string            m_plain;  // body of an answer that is passed whole
+  std::string            m_plain_body;  // buffered body
   traffic::EventSplitter m_events;
-  std::string            m_last_event;  // id of the last event passed on
-  std::string            m_output;      // for the turn's record
+  std::string            m_last_event_id;  // last forwarded event
+  std::string            m_output;         // event data for the turn record
   std::int64_t           m_event_count = 0;
-  Time                   m_first_event = 0;
-  Time                   m_last_event_at = 0;
-  Time                   m_sent_at = 0;
-  bool        m_found_free = false;  // places at the server, if known
-  LogPosition m_kept;                // where the log holds the turn
+  Time                   m_first_event_time = 0;
+  Time                   m_last_event_time = 0;
+  Time                   m_sent_time = 0;
+  bool                   m_had_free_slot = false;  // when sent
+  LogPosition            m_log_position;           // of the persisted turn
 };
 
 }  // namespace yuccawick::gateway
--- a/src/yuccawick/gateway/exchange_answer.cc
+++ b/src/yuccawick/gateway/exchange_answer.cc
@@ -4,8 +4,8 @@
 
 #include "yuccawick/gateway/exchange.h"
 
-// How a backend server's answer flows to the client; see exchange.cc for what
-// comes before and after.
+// Forwarding a backend server's answer to the client, and recording the turn.
+// See exchange.cc for sending and ending.
 
 namespace yuccawick::gateway {
 namespace {
@@ -17,23 +17,23 @@
 using traffic::SendFailureCause;
 
 constexpr int                kOk = 200;
-constexpr int                kMostAccepted = 299;
-// Statuses by which a server could seem to promise that it did not run a
-// request; only its explicit word does.
-constexpr std::array<int, 4> kPromises{408, 421, 429, 503};
-// A client that takes bytes slower than they come may keep this many waiting
-// here before its server is read no further.
+constexpr int                kMaxSuccessStatus = 299;
+// Statuses that suggest that the request did not run. The server states that
+// only with AnswerInfo::not_run.
+constexpr std::array<int, 4> kNotRunStatuses{408, 421, 429, 503};
+// Unsent bytes per client above which reading from the server is paused.
 constexpr std::size_t        kMaxBacklog = 256UL * 1024;
-// Plain answers up to this size are passed on whole, so that one that breaks
-// off is still an honest failure or can be fetched again.
-constexpr std::size_t        kMaxWhole = 256UL * 1024;
+// Answers up to this size (bytes) are buffered before forwarding, so that a
+// truncated one can still be retried or reported as a failure.
+constexpr std::size_t        kMaxBufferedAnswer = 256UL * 1024;
 constexpr double             kMillisPerSecond = 1000.0;
-// Events of all routes take an engine equally long; no route has this name.
-constexpr std::string_view   kEventWork;
+// Kind of the service time of stream events, shared by all routes; no route
+// has an empty name.
+constexpr std::string_view   kEventServiceKind;
 
-bool IsPromise(int status) {
-  return std::find(kPromises.begin(), kPromises.end(), status) !=
-         kPromises.end();
+bool SuggestsNotRun(int status) {
+  return std::find(kNotRunStatuses.begin(), kNotRunStatuses.end(), status) !=
+         kNotRunStatuses.end();
 }
 
 }  // namespace
@@ -52,28 +52,28 @@
 void Exchange::OnBackendBody(std::string_view bytes) {
   if (!m_has_answer) return;
   if (m_is_stream) {
-    if (m_answer_info.stamped && !m_answer_info.encoded) PassEvents(bytes);
+    if (m_answer_info.stamped && !m_answer_info.encoded) ForwardEvents(bytes);
     return;
   }
-  // The body of an answer that is not passed on decides nothing.
-  const bool may_pass =
-      IsSound() && !m_answer_info.not_run && !IsPromise(m_answer.status);
+  // The body of an answer that is not forwarded is not needed.
+  const bool may_pass = IsAnswerValid() && !m_answer_info.not_run &&
+                        !SuggestsNotRun(m_answer.status);
   if (!may_pass) return;
-  m_plain += bytes;
-  if (m_plain.size() > kMaxWhole) PassPlain();
-  CountHeld();
+  m_plain_body += bytes;
+  if (m_plain_body.size() > kMaxBufferedAnswer) ForwardPlain();
+  UpdateMemoryCharge();
 }
 
-void Exchange::PassPlain() {
-  if (!m_passed_head) BeginAnswer(-1);
+void Exchange::ForwardPlain() {
+  if (!m_head_forwarded) BeginAnswer(-1);
   std::string out;
-  net::AppendChunk(&out, std::exchange(m_plain, {}));
+  net::AppendChunk(&out, std::exchange(m_plain_body, {}));
   WriteAnswer(out);
 }
 
-bool Exchange::IsSound() const {
+bool Exchange::IsAnswerValid() const {
   const bool success =
-      m_answer.status >= kOk && m_answer.status <= kMostAccepted;
+      m_answer.status >= kOk && m_answer.status <= kMaxSuccessStatus;
   return m_answer_info.attempt == m_info.attempt && !m_answer_info.encoded &&
          (m_answer_info.stamped || !success);
 }
@@ -83,12 +83,12 @@
   if (m_client->ClientBacklog() > kMaxBacklog) m_connection->HoldReading(true);
 }
 
-void Exchange::PassEvents(std::string_view bytes) {
+void Exchange::ForwardEvents(std::string_view bytes) {
   if (!m_events.Add(bytes)) {
     OnBackendFailed(SendFailureCause::kBadAnswer);
     return;
   }
-  if (!m_passed_head) BeginAnswer(-1);
+  if (!m_head_forwarded) BeginAnswer(-1);
   const auto tokens_per_event = [&]() -> programs::Tokens {
     const auto* service = m_routes->manifest()->FindService(m_service);
     return service != nullptr && service->engine
@@ -100,30 +100,33 @@
   traffic::StreamEvent event;
   while (m_events.Next(&event)) {
     net::AppendChunk(&out, event.bytes);
-    if (!event.id.empty()) m_last_event = event.id;
+    if (!event.id.empty()) m_last_event_id = event.id;
     if (m_route->keeps_turns) m_output.append(event.data).append("\n");
     if (m_event_count++ == 0) {
-      m_first_event = m_parts.loop->now();
-      m_parts.gate->FirstEvent(m_gate_id);
+      m_first_event_time = m_parts.loop->now();
+      m_parts.dispatcher->FirstEvent(m_dispatch_id);
       m_parts.metrics->ObserveFirstEvent(
-          static_cast<double>(m_first_event - m_began) / kMillisPerSecond);
+          static_cast<double>(m_first_event_time - m_start_time) /
+          kMillisPerSecond);
     }
     m_tokens_used += tokens_per_event;
   }
-  NoteEvents(events_before);
-  CountHeld();
+  ObserveEventTimes(events_before);
+  UpdateMemoryCharge();
   if (!out.empty()) WriteAnswer(out);
 }
 
-// The first event of a send also holds the wait for a place and the prompt.
-void Exchange::NoteEvents(std::int64_t before) {
+// Skips the first event of a send, whose time includes queueing and prompt
+// processing.
+void Exchange::ObserveEventTimes(std::int64_t before) {
   const auto events = static_cast<double>(m_event_count - before);
   if (events <= 0) return;
   const Time now = m_parts.loop->now();
-  const Time last = std::exchange(m_last_event_at, now);
+  const Time last = std::exchange(m_last_event_time, now);
   if (last == 0) return;
   const auto took = static_cast<double>(now - last);
-  m_parts.backends->ObserveServiceTime(m_server_id, kEventWork, took / events);
+  m_parts.backends->ObserveServiceTime(m_server_id, kEventServiceKind,
+                                       took / events);
 }
 
 void Exchange::ClientDrained() {
@@ -131,7 +134,7 @@
 }
 
 void Exchange::BeginAnswer(std::int64_t length) {
-  m_passed_head = true;
+  m_head_forwarded = true;
   if (m_phase == AttemptPhase::kSent) Fire(AttemptEvent::kAnswerBegan);
   m_client->WriteToClient(platform::EncodeAnswerHead(
       m_answer, length, m_client->ClosesAfterAnswer()));
@@ -141,17 +144,17 @@
   const auto self = shared_from_this();
   if (m_client == nullptr) return;
   if (m_answer_info.not_run) {
-    LeaveServer(true);
+    DetachServer(true);
     m_parts.backends->ObserveBadAnswer(m_server_id);
-    Lost(SendFailureCause::kNotRun);
+    OnSendFailed(SendFailureCause::kNotRun);
     return;
   }
-  if (!IsSound() || (m_is_stream && m_events.has_partial())) {
+  if (!IsAnswerValid() || (m_is_stream && m_events.has_partial())) {
     OnBackendFailed(SendFailureCause::kBadAnswer);
     return;
   }
-  LeaveServer(true);
-  NoteOutcome();
+  DetachServer(true);
+  ObserveOutcome();
   if (m_is_stream) {
     EndStream();
   } else {
@@ -159,41 +162,42 @@
   }
 }
 
-void Exchange::NoteOutcome() {
+void Exchange::ObserveOutcome() {
   constexpr int kFirstServerError = 500;
   if (m_answer.status >= kFirstServerError) {
     m_parts.backends->ObserveBadAnswer(m_server_id);
   } else {
     m_parts.backends->ObserveSuccess(m_server_id);
-    if (m_answer.status <= kMostAccepted && !m_is_stream && m_found_free) {
+    if (m_answer.status <= kMaxSuccessStatus && !m_is_stream &&
+        m_had_free_slot) {
       m_parts.backends->ObserveServiceTime(
           m_server_id, m_route->name,
-          static_cast<double>(m_parts.loop->now() - m_sent_at));
+          static_cast<double>(m_parts.loop->now() - m_sent_time));
     }
   }
 }
 
 void Exchange::EndPlain() {
-  // These would promise the client that its request did not run, and the server
-  // did not say so.
-  if (IsPromise(m_answer.status)) {
+  // Such a status would promise the client that its request did not run, which
+  // the server did not state.
+  if (SuggestsNotRun(m_answer.status)) {
     Refuse(Refusal::kServerFailed);
     return;
   }
   Fire(AttemptEvent::kAnswerEnded);
-  if (!m_passed_head) {
-    BeginAnswer(static_cast<std::int64_t>(m_plain.size()));
-    FinishAnswer(m_plain);
+  if (!m_head_forwarded) {
+    BeginAnswer(static_cast<std::int64_t>(m_plain_body.size()));
+    FinishAnswer(m_plain_body);
     return;
   }
   std::string rest;
-  net::AppendChunk(&rest, m_plain);
+  net::AppendChunk(&rest, m_plain_body);
   FinishAnswer(rest.append(net::kLastChunk));
 }
 
 void Exchange::EndStream() {
-  if (!m_passed_head) BeginAnswer(-1);
-  m_parts.backends->RememberSession(LineKey(), m_server_id);
+  if (!m_head_forwarded) BeginAnswer(-1);
+  m_parts.backends->RememberSession(SessionKey(), m_server_id);
   if (!Fire(AttemptEvent::kAnswerEnded)) return;
   if (m_route->keeps_turns) {
     RecordTurn();
@@ -203,16 +207,16 @@
 }
 
 void Exchange::RecordTurn() {
-  programs::Turn turn{InScope(m_info.attempt), InScope(m_info.previous_turn),
-                      InScope(m_info.program), std::move(m_body),
+  programs::Turn turn{ScopedId(m_info.attempt), ScopedId(m_info.previous_turn),
+                      ScopedId(m_info.program), std::move(m_body),
                       std::move(m_output)};
   m_body.clear();
   m_output.clear();
-  CountHeld();
-  m_parts.turns->Persist(turn, m_route->retention, m_due,
+  UpdateMemoryCharge();
+  m_parts.turns->Persist(turn, m_route->retention, m_deadline,
                          [self = shared_from_this()](const LogPosition& kept) {
                            if (self->m_client == nullptr) return;
-                           self->m_kept = kept;
+                           self->m_log_position = kept;
                            self->FinishAnswer(net::kLastChunk);
                          });
 }
@@ -220,7 +224,7 @@
 void Exchange::FinishAnswer(std::string_view last_bytes) {
   m_client->WriteToClient(last_bytes);
   m_parts.metrics->CountAnswer(m_route->kind);
-  const Duration took = m_parts.loop->now() - m_began;
+  const Duration took = m_parts.loop->now() - m_start_time;
   m_parts.metrics->ObserveAnswer(static_cast<double>(took) / kMillisPerSecond);
   m_parts.log->Write(
       LogEvent::kAnswered,
@@ -228,9 +232,10 @@
        {"server", m_server_id},
        {"status", m_answer.status},
        {"events", m_event_count},
-       {"first_event_ms", m_first_event == 0 ? 0 : m_first_event - m_began},
-       {"turn_partition", m_kept.partition},
-       {"turn_offset", m_kept.offset},
+       {"first_event_ms",
+        m_first_event_time == 0 ? 0 : m_first_event_time - m_start_time},
+       {"turn_partition", m_log_position.partition},
+       {"turn_offset", m_log_position.offset},
        {"took_ms", took}});
   ClientSide* client = m_client;
   End();
--- a/src/yuccawick/gateway/exchange_prepare.cc
+++ b/src/yuccawick/gateway/exchange_prepare.cc
@@ -4,8 +4,9 @@
 
 #include "yuccawick/gateway/exchange.h"
 
-// What an exchange does before it sends its request: whose it is, whether it
-// may be sent, and what goes with it. See exchange.cc for the rest.
+// The steps of an exchange before its request is sent: key check, rate limit,
+// log, history, token reservation and dispatch queue. See exchange.cc for the
+// rest.
 
 namespace yuccawick::gateway {
 
@@ -29,7 +30,7 @@
 
 }  // namespace
 
-double Exchange::Draw() {
+double Exchange::UniformRandom() {
   static thread_local std::mt19937_64 random(std::random_device{}());
   return std::uniform_real_distribution<double>(0.0, 1.0)(random);
 }
@@ -37,25 +38,26 @@
 void Exchange::Start() {
   if (!CheckRequest()) return;
   StartTimer();
-  AwaitKey();
+  WaitForKeyLease();
 }
 
-// Until the manifest is known to be new enough for keys. Where others reach the
-// log and this node does not, they serve better.
-void Exchange::AwaitKey() {
+// Waits until the manifest is recent enough to check keys. Refuses at once if
+// only this node is cut off from the log, so that the client can use another.
+void Exchange::WaitForKeyLease() {
   if (m_client == nullptr) return;
   const bool keyed =
       m_routes->manifest()->workspaces.has_value() && !m_route->is_public;
   if (keyed && !m_parts.key_lease->Holds(m_parts.loop->ReadClock())) {
-    m_awaits = Refusal::kKeyUnsure;
-    const bool cut_off =
+    m_wait_refusal = Refusal::kKeyUnsure;
+    const bool isolated =
         !OutageAge() && m_parts.turns->reader().UnavailableFor() > 0;
-    if (cut_off || !WaitsOn()) {
-      Refuse(m_awaits);
+    if (isolated || !MayWaitLonger()) {
+      Refuse(m_wait_refusal);
       return;
     }
-    m_parts.loop->After(m_parts.thresholds->log_wait_pause,
-                        [self = shared_from_this()] { self->AwaitKey(); });
+    m_parts.loop->After(
+        m_parts.thresholds->log_wait_pause,
+        [self = shared_from_this()] { self->WaitForKeyLease(); });
     return;
   }
   if (!CheckKey()) return;
@@ -68,12 +70,12 @@
                       {"route", m_route->name},
                       {"service", m_service},
                       {"manifest", m_routes->manifest()->version},
-                      {"left_ms", Left()}});
-  AwaitToken();
+                      {"left_ms", TimeLeft()}});
+  AcquireRateToken();
 }
 
 void Exchange::Reject(Refusal refusal) {
-  // Its attempt id goes into the answer if it can be read.
+  // Decodes the attempt id for the answer, if there is one.
   platform::DecodeRequest(m_head, &m_info);
   Refuse(refusal);
 }
@@ -89,13 +91,13 @@
   }
   m_route = m_routes->Find(m_info.host, m_head.target);
   if (m_route == nullptr) {
-    // A node that cannot follow the manifest would deny a route that others
-    // serve. Its client comes back through one of them.
+    // The route may exist in a manifest that this node has not received. A
+    // retriable refusal lets the client reach a node that has.
     Refuse(m_parts.peers->FollowsManifest() ? Refusal::kNoRoute
                                             : Refusal::kRouteUnsure);
     return false;
   }
-  m_service = traffic::PickService(*m_route, Draw());
+  m_service = traffic::PickService(*m_route, UniformRandom());
   return true;
 }
 
@@ -104,8 +106,8 @@
   if (!workspaces || m_route->is_public) return true;
   m_workspace = workspaces->FindByKey(m_info.key);
   if (m_workspace == nullptr) {
-    // A node that cannot follow the manifest does not know the newest keys, nor
-    // does a request that waited while a newer one came.
+    // The key may exist in a newer manifest: one that this node has not
+    // received, or one that arrived while the request waited.
     const bool newest =
         m_parts.peers->FollowsManifest() && m_routes == *m_parts.routes;
     Refuse(newest ? Refusal::kUnknownKey : Refusal::kKeyUnsure);
@@ -118,13 +120,13 @@
   Duration limit = m_route->timeout;
   if (m_info.deadline)
     limit = std::min(limit, *m_info.deadline - m_parts.thresholds->answer_way);
-  m_due = m_began + limit;
+  m_deadline = m_start_time + limit;
   m_timer = m_parts.loop->After(limit, [this] {
     m_timer = 0;
-    OutOfTime();
+    OnDeadline();
   });
-  m_patience_timer =
-      m_parts.loop->After(PatienceLeft(), [this] { OutOfPatience(); });
+  m_wait_timer =
+      m_parts.loop->After(WaitTimeLeft(), [this] { OnWaitTimeout(); });
 }
 
 std::optional<Duration> Exchange::OutageAge() const {
@@ -132,45 +134,46 @@
   return m_parts.turns->reader().UnavailableFor();
 }
 
-Duration Exchange::LogPatience() const {
+Duration Exchange::MaxLogWait() const {
   const Thresholds& limits = *m_parts.thresholds;
   if (!OutageAge()) return limits.log_wait;
   return traffic::OutageHoldTime({limits.outage_hold, limits.outage_hold_share},
-                                 m_due - m_began);
+                                 m_deadline - m_start_time);
 }
 
-bool Exchange::WaitsOn() {
-  // The end of an outage must not end a wait that it is the answer to.
-  m_log_patience = std::max(m_log_patience, LogPatience());
-  const Duration waited = m_parts.loop->now() - m_began;
-  return waited + m_parts.thresholds->log_wait_pause <= m_log_patience;
+bool Exchange::MayWaitLonger() {
+  // Keeps the longest limit: the end of an outage shortens MaxLogWait(), and
+  // would refuse the requests that waited for it.
+  m_max_log_wait = std::max(m_max_log_wait, MaxLogWait());
+  const Duration waited = m_parts.loop->now() - m_start_time;
+  return waited + m_parts.thresholds->log_wait_pause <= m_max_log_wait;
 }
 
-void Exchange::AwaitToken() {
+void Exchange::AcquireRateToken() {
   if (m_workspace == nullptr) {
-    AwaitLog();
+    WaitForLog();
     return;
   }
-  m_awaits = Refusal::kLimitUnsure;
-  const ProgramStep step{InScope(m_info.program), !m_info.previous_turn.empty(),
-                         LogPatience()};
+  m_wait_refusal = Refusal::kLimitUnsure;
+  const ProgramStep step{ScopedId(m_info.program),
+                         !m_info.previous_turn.empty(), MaxLogWait()};
   m_parts.limiter->Acquire(
       *m_workspace, step,
-      [self = shared_from_this()](const RateLimitResult& admission) {
+      [self = shared_from_this()](const RateLimitResult& result) {
         if (self->m_client == nullptr) {
-          if (admission.token.tokens > 0) {
+          if (result.token.tokens > 0) {
             self->m_parts.limiter->Refund(self->m_workspace->name,
-                                          admission.token);
+                                          result.token);
           }
           return;
         }
-        self->m_limit_return = admission.retry_delay;
-        switch (admission.outcome) {
+        self->m_rate_retry_delay = result.retry_delay;
+        switch (result.outcome) {
           case RateLimitOutcome::kAdmitted:
-            self->m_rate_token = admission.token;
-            self->AwaitLog();
+            self->m_rate_token = result.token;
+            self->WaitForLog();
             break;
-          case RateLimitOutcome::kOver:
+          case RateLimitOutcome::kOverLimit:
             self->Refuse(Refusal::kOverLimit);
             break;
           case RateLimitOutcome::kUnsure:
@@ -180,63 +183,63 @@
       });
 }
 
-// A turn whose end no node can keep would be read to its last event and then
-// broken off, at the cost of its tokens and of a server's time; the next
-// attempt would have no tokens to run on. So it waits before it is sent, not
-// after.
-void Exchange::AwaitLog() {
+// Waits for the log before the turn is sent. A turn that cannot be persisted
+// would be aborted at its last event, after spending the program's tokens that
+// the next attempt needs.
+void Exchange::WaitForLog() {
   if (m_client == nullptr) return;
   if (!m_route->keeps_turns || m_parts.turns->CanPersist()) {
     FindHistory();
     return;
   }
-  m_awaits = Refusal::kLogAway;
-  if (!WaitsOn()) {
-    Refuse(m_awaits);
+  m_wait_refusal = Refusal::kLogAway;
+  if (!MayWaitLonger()) {
+    Refuse(m_wait_refusal);
     return;
   }
-  if (m_parts.loop->now() == m_began) {
+  if (m_parts.loop->now() == m_start_time) {
     m_parts.log->Write(
         LogEvent::kWaiting,
         {{"request", m_info.attempt},
          {"log_away_ms", m_parts.turns->reader().UnavailableFor()}});
   }
   m_parts.loop->After(m_parts.thresholds->log_wait_pause,
-                      [self = shared_from_this()] { self->AwaitLog(); });
+                      [self = shared_from_this()] { self->WaitForLog(); });
 }
 
-Duration Exchange::PatienceLeft() const {
-  const auto share = static_cast<Duration>(
-      m_parts.thresholds->wait_share * static_cast<double>(m_due - m_began));
-  return m_began + share - m_parts.loop->now();
+Duration Exchange::WaitTimeLeft() const {
+  const auto share =
+      static_cast<Duration>(m_parts.thresholds->wait_share *
+                            static_cast<double>(m_deadline - m_start_time));
+  return m_start_time + share - m_parts.loop->now();
 }
 
-// Its client can come back while it has time left. Waits that are each short
-// may add up.
-void Exchange::OutOfPatience() {
-  m_patience_timer = 0;
+// Limits the sum of all waits before sending, so that the client has time left
+// for a retry.
+void Exchange::OnWaitTimeout() {
+  m_wait_timer = 0;
   const auto self = shared_from_this();
   if (m_client != nullptr && m_phase == AttemptPhase::kPreparing) {
-    Refuse(m_awaits);
+    Refuse(m_wait_refusal);
   }
 }
 
 void Exchange::FindHistory() {
   if (!m_route->keeps_turns) {
-    m_chain = std::move(m_body);
+    m_prompt_body = std::move(m_body);
     m_body.clear();
     ReserveTokens();
     return;
   }
   if (m_info.previous_turn.empty()) {
-    m_chain = m_body;
-    CountHeld();
+    m_prompt_body = m_body;
+    UpdateMemoryCharge();
     ReserveTokens();
     return;
   }
-  m_awaits = Refusal::kHistoryUnsure;
+  m_wait_refusal = Refusal::kHistoryUnsure;
   m_parts.turns->Find(
-      InScope(m_info.previous_turn), InScope(m_info.program),
+      ScopedId(m_info.previous_turn), ScopedId(m_info.program),
       [self = shared_from_this()](FindOutcome outcome) {
         if (self->m_client == nullptr) return;
         if (outcome == FindOutcome::kUnknown) {
@@ -244,12 +247,13 @@
         } else if (outcome == FindOutcome::kUnsure) {
           self->Refuse(Refusal::kHistoryUnsure);
         } else {
-          self->m_chain = self->m_parts.turns->history()
-                              .Build(self->InScope(self->m_info.previous_turn),
-                                     self->m_body, self->m_parts.loop->now(),
-                                     self->m_route->retention)
-                              .body;
-          self->CountHeld();
+          self->m_prompt_body =
+              self->m_parts.turns->history()
+                  .Build(self->ScopedId(self->m_info.previous_turn),
+                         self->m_body, self->m_parts.loop->now(),
+                         self->m_route->retention)
+                  .body;
+          self->UpdateMemoryCharge();
           self->ReserveTokens();
         }
       });
@@ -257,22 +261,22 @@
 
 void Exchange::ReserveTokens() {
   if (!m_info.budget || m_info.program.empty()) {
-    Prepared();
+    OnPrepared();
     return;
   }
-  TurnBudget turn{InScope(m_info.program), *m_info.budget, m_info.max_tokens};
-  AskForRoom(&turn);
-  m_awaits = Refusal::kBudgetUnsure;
+  TurnBudget turn{ScopedId(m_info.program), *m_info.budget, m_info.max_tokens};
+  FillAdmissionRequest(&turn);
+  m_wait_refusal = Refusal::kBudgetUnsure;
   const Duration patience =
-      std::min(m_parts.thresholds->log_wait, PatienceLeft());
+      std::min(m_parts.thresholds->log_wait, WaitTimeLeft());
   m_parts.peers->Reserve(
       turn, patience,
       [self = shared_from_this()](const Reservation& reservation) {
-        self->TakeReservation(reservation);
+        self->OnReservation(reservation);
       });
 }
 
-void Exchange::TakeReservation(const Reservation& reservation) {
+void Exchange::OnReservation(const Reservation& reservation) {
   const bool reserved = reservation.outcome == ReserveOutcome::kStart;
   if (m_client == nullptr) {
     if (reserved) m_parts.peers->EndTurn(reservation, 0, {});
@@ -281,52 +285,53 @@
   m_reserved = reserved;
   m_reservation = reservation;
   if (reserved) {
-    const bool known = !reservation.server.empty() && !LineKey().empty();
-    if (known) m_parts.backends->RememberSession(LineKey(), reservation.server);
-    Prepared();
+    const bool known = !reservation.server.empty() && !SessionKey().empty();
+    if (known)
+      m_parts.backends->RememberSession(SessionKey(), reservation.server);
+    OnPrepared();
   } else {
     Refuse(RefusalFor(reservation.outcome));
   }
 }
 
-void Exchange::AskForRoom(TurnBudget* turn) const {
+void Exchange::FillAdmissionRequest(TurnBudget* turn) const {
   const auto* service = m_routes->manifest()->FindService(m_service);
   if (service == nullptr || !service->engine) return;
-  admission::AdmissionRequest& ask = turn->admission_request;
-  ask.program = turn->program;
-  ask.service = m_service;
-  ask.partition = ClaimPartitionOf(turn->program);
-  ask.route = m_route->name;
-  if (m_workspace != nullptr) ask.workspace = m_workspace->name;
-  ask.priority = Priority();
-  ask.under_way = !m_info.previous_turn.empty();
-  ask.prompt_tokens =
+  admission::AdmissionRequest& demand = turn->admission_request;
+  demand.program = turn->program;
+  demand.service = m_service;
+  demand.partition = ClaimPartitionOf(turn->program);
+  demand.route = m_route->name;
+  if (m_workspace != nullptr) demand.workspace = m_workspace->name;
+  demand.priority = Priority();
+  demand.under_way = !m_info.previous_turn.empty();
+  demand.prompt_tokens =
       std::max<std::int64_t>(0, m_info.prompt_tokens - m_info.shared_tokens);
-  ask.max_tokens = m_info.max_tokens;
-  ask.left = ProgramLeft();
+  demand.max_tokens = m_info.max_tokens;
+  demand.left = ProgramTimeLeft();
 }
 
-void Exchange::Prepared() {
+void Exchange::OnPrepared() {
   if (m_route->kind == RequestKind::kStreaming) {
-    AwaitServers();
+    EnqueueTurn();
     return;
   }
-  m_parts.loop->Cancel(&m_patience_timer);
+  m_parts.loop->Cancel(&m_wait_timer);
   if (Fire(AttemptEvent::kPrepared)) Dispatch();
 }
 
-void Exchange::AwaitServers() {
-  m_awaits = Refusal::kOverloaded;
-  const auto place =
-      traffic::QueueRank(InScope(m_info.program), Priority(), ProgramLeft());
+void Exchange::EnqueueTurn() {
+  m_wait_refusal = Refusal::kOverloaded;
+  const auto place = traffic::QueueRank(ScopedId(m_info.program), Priority(),
+                                        ProgramTimeLeft());
   const auto self = shared_from_this();
-  m_gate_id =
-      m_parts.gate->Enqueue(m_service, place, m_route->target_latency, [this] {
-        m_parts.loop->Cancel(&m_patience_timer);
+  m_dispatch_id = m_parts.dispatcher->Enqueue(
+      m_service, place, m_route->target_latency, [this] {
+        m_parts.loop->Cancel(&m_wait_timer);
         if (Fire(AttemptEvent::kPrepared)) Dispatch();
       });
-  // It may have ended while it was let through.
-  if (m_client == nullptr) m_parts.gate->Release(&m_gate_id);
+  // The exchange may have ended inside the callback.
+  if (m_client == nullptr) m_parts.dispatcher->Release(&m_dispatch_id);
 }
 
 }  // namespace yuccawick::gateway
--- a/src/yuccawick/gateway/gateway.cc
+++ b/src/yuccawick/gateway/gateway.cc
@@ -11,45 +11,45 @@
 namespace yuccawick::gateway {
 namespace {
 
-constexpr Duration      kTick = 500;          // ms between sweeps
-constexpr Duration      kMemoryTick = 50;     // ms; most of a body comes in it
-constexpr Duration      kLogUsePause = 2000;  // ms between two lines of it
-constexpr Duration      kStopCheck = 50;      // ms
-constexpr Duration      kLastCalls = 100;  // ms for the last appends to go out
-constexpr Duration      kAnnounceRetry = 200;  // ms
-constexpr std::uint16_t kMetricsPort = 9464;   // the usual one of exporters
-// What clients may send until a manifest says.
-constexpr traffic::ClientLimits kFirstLimits{16UL * 1024, 1UL << 20, 3000,
-                                             15'000};
-
-std::vector<TokenCoordinator> MakeDesks(net::EventLoop*      loop,
-                                        const Thresholds*    thresholds,
-                                        platform::RecordLog* store, Log* log,
-                                        const std::string& incarnation,
-                                        AdmissionService*  room) {
-  std::vector<TokenCoordinator> desks;
-  desks.reserve(kClaimPartitions);  // desks hand out pointers to themselves
+constexpr Duration              kSweepInterval = 500;       // ms
+constexpr Duration              kMemoryCheckInterval = 50;  // ms
+constexpr Duration              kLogUsageInterval = 2000;   // ms
+constexpr Duration              kStopCheckInterval = 50;    // ms
+constexpr Duration              kFinalAppendTime = 100;     // ms
+constexpr Duration              kAnnounceRetryDelay = 200;  // ms
+constexpr std::uint16_t         kMetricsPort = 9464;
+// Client limits until the first manifest arrives.
+constexpr traffic::ClientLimits kDefaultClientLimits{16UL * 1024, 1UL << 20,
+                                                     3000, 15'000};
+
+std::vector<TokenCoordinator> MakeTokenCoordinators(
+    net::EventLoop* loop, const Thresholds* thresholds,
+    platform::RecordLog* store, Log* log, const std::string& incarnation,
+    AdmissionService* admission_service) {
+  std::vector<TokenCoordinator> coordinators;
+  coordinators.reserve(kClaimPartitions);  // elements must not be moved
   for (int i = 0; i < kClaimPartitions; ++i) {
-    desks.emplace_back(loop, thresholds, store, log, incarnation, i, room);
+    coordinators.emplace_back(loop, thresholds, store, log, incarnation, i,
+                              admission_service);
   }
-  return desks;
+  return coordinators;
 }
 
-std::vector<RateCoordinator> MakeRateDesks(
+std::vector<RateCoordinator> MakeRateCoordinators(
     net::EventLoop* loop, const Thresholds* thresholds,
     platform::RecordLog* store, Log* log, const std::string& incarnation,
-    const workspaces::RateLedger::LimitLookup& limit_of,
+    const workspaces::RateLedger::LimitLookup& rate_limits,
     const workspaces::RateWindow&              window) {
-  std::vector<RateCoordinator> desks;
-  desks.reserve(kRatePartitions);  // desks hand out pointers to themselves
+  std::vector<RateCoordinator> coordinators;
+  coordinators.reserve(kRatePartitions);  // elements must not be moved
   for (int i = 0; i < kRatePartitions; ++i) {
-    desks.emplace_back(loop, thresholds, store, log, incarnation, i, limit_of,
-                       window);
+    coordinators.emplace_back(loop, thresholds, store, log, incarnation, i,
+                              rate_limits, window);
   }
-  return desks;
+  return coordinators;
 }
 
-std::uint32_t CapacityOf(const platform::Settings& settings) {
+std::uint32_t MillicoresFor(const platform::Settings& settings) {
   constexpr double kThousandths = 1000.0;
   return static_cast<std::uint32_t>(
       std::max(1.0, settings.cores * kThousandths));
@@ -72,37 +72,42 @@
               }),
       m_memory(std::make_shared<pressure::MemoryBudget>(thresholds->memory,
                                                         settings.memory_bytes)),
-      m_held_turns(m_memory, pressure::MemoryKind::kTurns),
+      m_turn_charge(m_memory, pressure::MemoryKind::kTurns),
       m_backends(loop, thresholds, settings.zone,
                  traffic::MakePlacement(traffic::PlacementKind::kSoonestEnd,
                                         thresholds->placement),
                  m_memory),
       m_turns(loop, thresholds, &m_store, log, metrics, incarnation),
-      m_begin_share(thresholds->fairness,
-                    [this](const std::string& workspace) {
-                      return PriorityOf(workspace);
-                    }),
-      m_room(loop, &thresholds->admission, &m_begin_share, log, metrics,
-             [this](const std::string& service) { return RoomOf(service); }),
-      m_desks(MakeDesks(loop, thresholds, &m_store, log, incarnation, &m_room)),
+      m_fairness(thresholds->fairness,
+                 [this](const std::string& workspace) {
+                   return PriorityFor(workspace);
+                 }),
+      m_admission(
+          loop, &thresholds->admission, &m_fairness, log, metrics,
+          [this](const std::string& service) { return CapacityFor(service); }),
+      m_token_coordinators(MakeTokenCoordinators(
+          loop, thresholds, &m_store, log, incarnation, &m_admission)),
       m_key_lease(settings.key_bound),
       m_members({settings.node,
                  incarnation,
                  {settings.address, settings.inner_ports.front()},
                  settings.zone,
-                 CapacityOf(settings)}),
-      m_rate_desks(MakeRateDesks(
+                 MillicoresFor(settings)}),
+      m_rate_coordinators(MakeRateCoordinators(
           loop, thresholds, &m_store, log, incarnation,
-          [this](const std::string& workspace) { return LimitOf(workspace); },
+          [this](const std::string& workspace) {
+            return RateLimitFor(workspace);
+          },
           settings.rate_window)),
       m_network(loop, thresholds, &m_members, log),
-      m_limiter(loop, thresholds, m_members.self(), &m_network, &m_rate_desks,
-                [this](const std::string& key) {
-                  return m_peers.RankCoordinators(key);
-                }),
-      m_gate(loop, thresholds->concurrency_limit),
-      m_peers(loop, thresholds, &m_members, &m_network, &m_desks, &m_limiter,
-              &m_turns, &m_backends, &m_room),
+      m_rate_limiter(loop, thresholds, m_members.self(), &m_network,
+                     &m_rate_coordinators,
+                     [this](const std::string& key) {
+                       return m_peers.RankCoordinators(key);
+                     }),
+      m_dispatcher(loop, thresholds->concurrency_limit),
+      m_peers(loop, thresholds, &m_members, &m_network, &m_token_coordinators,
+              &m_rate_limiter, &m_turns, &m_backends, &m_admission),
       m_readiness(loop, [this](std::string_view) { return AnswerReadiness(); }),
       m_metrics_server(loop, [metrics](std::string_view) {
         return SmallAnswer{200, metrics->Text()};
@@ -122,7 +127,7 @@
   Announce();
   Tick();
   WatchMemory();
-  TellNews();
+  SendReportsPeriodically();
   return true;
 }
 
@@ -131,15 +136,14 @@
               programs::EncodeNode(m_members.self()), m_thresholds->log_timeout,
               [this](const platform::StoreResult<platform::Appended>& result) {
                 if (result || m_stopping) return;
-                m_loop->After(kAnnounceRetry, [this] { Announce(); });
+                m_loop->After(kAnnounceRetryDelay, [this] { Announce(); });
               });
 }
 
 void Gateway::TakeNode(const std::string&                       name,
                        const std::optional<programs::NodeInfo>& node) {
   if (name == m_settings.node) {
-    // A late call of an earlier start took the entry back, or put its own
-    // there.
+    // A delayed write of an earlier run replaced or removed this node's entry.
     const bool mine = node && node->incarnation == m_members.self().incarnation;
     if (!mine && !m_stopping) Announce();
   } else if (node) {
@@ -149,10 +153,11 @@
   }
 }
 
-void Gateway::TellNews() {
+void Gateway::SendReportsPeriodically() {
   m_peers.SendReports();
-  m_gate.Sweep();
-  m_loop->After(m_thresholds->news_pause, [this] { TellNews(); });
+  m_dispatcher.Sweep();
+  m_loop->After(m_thresholds->news_pause,
+                [this] { SendReportsPeriodically(); });
 }
 
 void Gateway::TakeManifest(const traffic::ManifestPtr& manifest) {
@@ -169,14 +174,15 @@
   m_backends.Update(servers);
 }
 
-capacity::ServiceCapacity Gateway::RoomOf(const std::string& service) const {
+capacity::ServiceCapacity Gateway::CapacityFor(
+    const std::string& service) const {
   if (m_routes == nullptr) return {};
   const auto* found = m_routes->manifest()->FindService(service);
   if (found == nullptr || !found->engine) return {};
   return m_backends.ComputeCapacity(service, *found->engine);
 }
 
-std::optional<workspaces::RateLimit> Gateway::LimitOf(
+std::optional<workspaces::RateLimit> Gateway::RateLimitFor(
     const std::string& workspace) const {
   if (m_routes == nullptr || !m_routes->manifest()->workspaces) {
     return std::nullopt;
@@ -185,22 +191,23 @@
   return found == nullptr ? std::nullopt : found->limit;
 }
 
-int Gateway::PriorityOf(const std::string& workspace) const {
+int Gateway::PriorityFor(const std::string& workspace) const {
   if (m_routes == nullptr || !m_routes->manifest()->workspaces) return 0;
   const auto* found = m_routes->manifest()->workspaces->Find(workspace);
   return found == nullptr ? 0 : found->priority.value_or(0);
 }
 
 traffic::ClientLimits Gateway::Limits() const {
-  return m_routes == nullptr ? kFirstLimits : m_routes->manifest()->limits;
+  return m_routes == nullptr ? kDefaultClientLimits
+                             : m_routes->manifest()->limits;
 }
 
 bool Gateway::Ready() const {
   return m_routes != nullptr && m_servers_known && !m_stopping &&
-         !OthersServeBetter() && !MemoryIsShort();
+         !ShouldYieldClients() && !IsMemoryLow();
 }
 
-bool Gateway::OthersServeBetter() const {
+bool Gateway::ShouldYieldClients() const {
   const bool fresh = m_routes == nullptr || !m_routes->manifest()->workspaces ||
                      !m_key_lease.IsOld(m_loop->now());
   return m_peers.IsIsolated() || (!fresh && m_peers.OthersReachLog());
@@ -215,20 +222,20 @@
   for (int fd = net::Accept(m_listener, silence); fd >= 0;
        fd = net::Accept(m_listener, silence)) {
     m_accepted_at = m_loop->now();
-    const GatewayParts parts{m_loop,    m_thresholds, &m_backends, &m_turns,
-                             &m_peers,  m_log,        m_metrics,   m_started,
-                             &m_routes, &m_key_lease, &m_limiter,  &m_gate,
-                             m_memory};
+    const GatewayParts parts{
+        m_loop,          m_thresholds,  &m_backends, &m_turns,  &m_peers,
+        m_log,           m_metrics,     m_started,   &m_routes, &m_key_lease,
+        &m_rate_limiter, &m_dispatcher, m_memory};
     auto connection = std::make_unique<ClientConnection>(parts, this, fd);
     ClientConnection* raw = connection.get();
     m_clients.emplace(raw, std::move(connection));
   }
 }
 
-void Gateway::Forget(ClientConnection* connection) {
+void Gateway::RemoveConnection(ClientConnection* connection) {
   auto node = m_clients.extract(connection);
   if (node.empty()) return;
-  // Destroyed later: the connection is on the call stack.
+  // Deferred: the connection may still be on the call stack.
   const std::shared_ptr<ClientConnection> dying = std::move(node.mapped());
   m_loop->Defer([dying] {});
 }
@@ -244,7 +251,7 @@
                   {"turns_left", history.size()},
                   {"turn_bytes", history.bytes()}});
   }
-  m_held_turns.Set(history.bytes());
+  m_turn_charge.Set(history.bytes());
   if (m_memory->Update(m_loop->now())) {
     const auto held = [this](pressure::MemoryKind kind) {
       return m_memory->used(kind);
@@ -259,26 +266,26 @@
                   {"turns", held(pressure::MemoryKind::kTurns)},
                   {"connections", m_clients.size()}});
   }
-  if (m_memory->level() == pressure::PressureLevel::kFull) DropStalledReaders();
-  m_loop->After(kMemoryTick, [this] { WatchMemory(); });
+  if (m_memory->level() == pressure::PressureLevel::kFull) DropStalledClients();
+  m_loop->After(kMemoryCheckInterval, [this] { WatchMemory(); });
 }
 
-void Gateway::DropStalledReaders() {
+void Gateway::DropStalledClients() {
   std::vector<ClientConnection*>      clients;
-  std::vector<pressure::ClientBuffer> readers;
+  std::vector<pressure::ClientBuffer> buffers;
   for (const auto& [raw, owned] : m_clients) {
     clients.push_back(raw);
-    readers.push_back(raw->buffer());
+    buffers.push_back(raw->buffer());
   }
   while (m_memory->IsFull()) {
     const auto drop =
-        ChooseClientToDrop(readers, m_thresholds->memory.full_stall_timeout);
+        ChooseClientToDrop(buffers, m_thresholds->memory.full_stall_timeout);
     if (drop == pressure::kNoClient) return;
     m_log->Write(LogEvent::kPressure, {{"reader", "let_go"},
-                                       {"waiting", readers[drop].waiting},
-                                       {"stalled_ms", readers[drop].stalled}});
+                                       {"waiting", buffers[drop].waiting},
+                                       {"stalled_ms", buffers[drop].stalled}});
     m_metrics->CountClientDropped();
-    readers[drop] = {};
+    buffers[drop] = {};
     clients[drop]->DropClient();
   }
 }
@@ -286,32 +293,33 @@
 void Gateway::Tick() {
   m_backends.Sweep();
   m_turns.Sweep();
-  for (TokenCoordinator& desk : m_desks) desk.Sweep();
-  m_limiter.Sweep(m_routes != nullptr &&
-                  m_routes->manifest()->workspaces.has_value());
+  for (TokenCoordinator& coordinator : m_token_coordinators)
+    coordinator.Sweep();
+  m_rate_limiter.Sweep(m_routes != nullptr &&
+                       m_routes->manifest()->workspaces.has_value());
   m_metrics->Set(Gauge::kConnections, static_cast<double>(m_clients.size()));
   m_metrics->Set(Gauge::kTurns, static_cast<double>(m_turns.history().size()));
   m_metrics->Set(Gauge::kServers, static_cast<double>(m_backends.servers()));
   m_metrics->SetMemory(*m_memory);
-  if (OthersServeBetter()) CloseIdle();
-  WritePaces();
-  WriteLogUse();
+  if (ShouldYieldClients()) CloseIdle();
+  WriteSlowdownChanges();
+  WriteLogUsage();
   m_log->Flush();
-  m_loop->After(kTick, [this] { Tick(); });
+  m_loop->After(kSweepInterval, [this] { Tick(); });
 }
 
-void Gateway::WriteShares() {
-  constexpr std::size_t kMost = 3;
+void Gateway::WriteUsageMargins() {
+  constexpr std::size_t kMaxLogged = 3;
   const auto percent = [](double part) { return std::lround(100.0 * part); };
-  for (const auto& user : m_begin_share.TopWorkspaces(kMost)) {
-    if (user.margin <= 0) continue;
-    m_log->Write(LogEvent::kShare, {{"workspace", user.workspace},
-                                    {"part_percent", percent(user.part)},
-                                    {"leaves_percent", percent(user.margin)}});
+  for (const auto& usage : m_fairness.TopWorkspaces(kMaxLogged)) {
+    if (usage.margin <= 0) continue;
+    m_log->Write(LogEvent::kShare, {{"workspace", usage.workspace},
+                                    {"part_percent", percent(usage.part)},
+                                    {"leaves_percent", percent(usage.margin)}});
   }
 }
 
-void Gateway::WritePaces() {
+void Gateway::WriteSlowdownChanges() {
   constexpr double kPercent = 100.0;
   m_metrics->Set(Gauge::kSlowServers,
                  static_cast<double>(m_backends.slow_servers()));
@@ -327,13 +335,14 @@
   }
 }
 
-// Of the whole process, the control thread included.
-void Gateway::WriteLogUse() {
-  if (m_loop->now() - m_use_written_at < kLogUsePause) return;
-  m_use_written_at = m_loop->now();
-  for (RateCoordinator& desk : m_rate_desks) desk.LogRefusals();
-  m_room.WriteUsageLines();
-  WriteShares();
+// Covers the whole process, including the control thread.
+void Gateway::WriteLogUsage() {
+  if (m_loop->now() - m_usage_logged_at < kLogUsageInterval) return;
+  m_usage_logged_at = m_loop->now();
+  for (RateCoordinator& coordinator : m_rate_coordinators)
+    coordinator.LogRefusals();
+  m_admission.WriteUsageLines();
+  WriteUsageMargins();
   for (const Metrics::LogUse& use : m_metrics->TakeLogUse()) {
     m_log->Write(LogEvent::kLogUse, {{"topic", Name(use.topic)},
                                      {"call", Name(use.kind)},
@@ -346,7 +355,7 @@
 void Gateway::Stop() {
   if (m_stopping) return;
   m_stopping = true;
-  m_stop_due =
+  m_stop_deadline =
       m_loop->now() + m_settings.stop_limit - m_thresholds->stop_margin;
   m_log->Write(LogEvent::kStopping, {{"connections", m_clients.size()}});
   m_loop->After(m_thresholds->balancer_lag, [this] {
@@ -370,27 +379,28 @@
 }
 
 void Gateway::FinishWhenIdle() {
-  // The balancer may go on sending clients, if many nodes of the zone are away.
-  // Whoever connected before the end is still served: a connection that was
-  // accepted and then dropped is a lost request.
+  // The balancer may keep sending clients while many nodes of the zone are
+  // down. Listening until connections stop arriving avoids dropping a
+  // connection that was already accepted, which would lose its request.
   const bool quiet = m_loop->now() - m_accepted_at >= m_thresholds->stop_quiet;
-  if (quiet || m_loop->now() >= m_stop_due - m_thresholds->last_requests)
+  if (quiet || m_loop->now() >= m_stop_deadline - m_thresholds->last_requests)
     StopListening();
   CloseIdle();
   const bool served =
       m_listener < 0 && m_clients.empty() && m_turns.pending_persists() == 0;
-  if (served || m_loop->now() >= m_stop_due) {
+  if (served || m_loop->now() >= m_stop_deadline) {
     m_log->Write(LogEvent::kStopped,
                  {{"connections_cut", m_clients.size()},
                   {"turns_not_durable", m_turns.pending_persists()}});
-    for (TokenCoordinator& desk : m_desks) desk.ReleaseAllUnused();
+    for (TokenCoordinator& coordinator : m_token_coordinators)
+      coordinator.ReleaseAllUnused();
     m_store.Put(platform::Topic::kNodes, m_settings.node, std::nullopt,
                 m_thresholds->log_timeout,
                 [](const platform::StoreResult<platform::Appended>&) {});
-    m_loop->After(kLastCalls, [this] { m_loop->Stop(); });
+    m_loop->After(kFinalAppendTime, [this] { m_loop->Stop(); });
     return;
   }
-  m_loop->After(kStopCheck, [this] { FinishWhenIdle(); });
+  m_loop->After(kStopCheckInterval, [this] { FinishWhenIdle(); });
 }
 
 }  // namespace yuccawick::gateway
--- a/src/yuccawick/gateway/gateway.h
+++ b/src/yuccawick/gateway/gateway.h
@@ -1,7 +1,8 @@
-// The traffic side of a node: takes clients' connections and serves them.
+// The data plane of a node: accepts client connections and serves them, and
+// runs the periodic work of all components below.
 //
-// Everything here runs on the traffic loop. Manifests and server lists come
-// from the control thread through Take...(), posted to the loop.
+// Everything here runs on the traffic loop. The control thread passes
+// manifests, server lists and nodes by posting calls of Take...() to that loop.
 #pragma once
 
 #include <memory>
@@ -23,30 +24,30 @@
           const std::string& incarnation);
   ~Gateway() override;
 
-  bool Listen();  // false: an address is not to be had
+  bool Listen();  // false if an address cannot be bound
   void TakeManifest(const traffic::ManifestPtr& manifest);
   void TakeServers(const traffic::ServerListPtr& servers);
-  // The log began or ceased to answer.
+  // The log became reachable or unreachable.
   void TakeLogReachable(bool reachable) { m_peers.SetLogReachable(reachable); }
-  // All manifests written before this moment were taken.
+  // All manifests written before `as_of` have been applied.
   void TakeManifestCurrent(Time as_of) { m_key_lease.Renew(as_of); }
-  // A node announced itself, or, without a value, left.
+  // A node joined or changed; without a value, it left.
   void TakeNode(const std::string&                       name,
                 const std::optional<programs::NodeInfo>& node);
-  // Serves on while the balancer turns clients away, then stops the loop.
+  // Keeps serving until the balancer has removed this node, then stops the
+  // loop.
   void Stop();
 
   std::shared_ptr<const traffic::RouteTable> Routes() const override {
     return m_routes;
   }
   traffic::ClientLimits Limits() const override;
-  // Also while this node is cut off: a kept connection would hold its client
-  // here, a new one is led to another node.
-  // Likewise while its memory is short.
+  // Also while this node is isolated or low on memory: the balancer directs the
+  // client's next connection to another node.
   bool                  Closing() const override {
-    return m_closing || OthersServeBetter() || MemoryIsShort();
+    return m_closing || ShouldYieldClients() || IsMemoryLow();
   }
-  void                          Forget(ClientConnection* connection) override;
+  void RemoveConnection(ClientConnection* connection) override;
   const pressure::MemoryBudget& memory() const { return *m_memory; }
 
   void OnReadable() override;
@@ -54,34 +55,34 @@
   void OnHangup() override {}
 
  private:
-  SmallAnswer                          AnswerReadiness() const;
-  void                                 Announce();
-  void                                 Tick();
-  void                                 TellNews();
-  void                                 WriteLogUse();
-  // Workspaces that leave most room to others now.
-  void                                 WriteShares();
-  void                                 WritePaces();
-  void                                 CloseIdle();
-  void                                 StopListening();
-  void                                 FinishWhenIdle();
-  bool                                 Ready() const;
-  // Of a model service; of others, and while servers are unknown, nothing.
-  capacity::ServiceCapacity            RoomOf(const std::string& service) const;
-  std::optional<workspaces::RateLimit> LimitOf(
+  SmallAnswer               AnswerReadiness() const;
+  void                      Announce();
+  void                      Tick();
+  void                      SendReportsPeriodically();
+  void                      WriteLogUsage();
+  // Logs the workspaces with the largest usage margin.
+  void                      WriteUsageMargins();
+  void                      WriteSlowdownChanges();
+  void                      CloseIdle();
+  void                      StopListening();
+  void                      FinishWhenIdle();
+  bool                      Ready() const;
+  // Empty if the service has no engine or its servers are unknown.
+  capacity::ServiceCapacity CapacityFor(const std::string& service) const;
+  std::optional<workspaces::RateLimit> RateLimitFor(
       const std::string& workspace) const;
-  // Of a workspace; without one of its own, of all that have none.
-  int  PriorityOf(const std::string& workspace) const;
-  // This node is cut off, or will soon not know which keys hold while others
-  // do. Were it to stay, its clients would be refused by it for as long as the
-  // log does not answer it.
-  bool OthersServeBetter() const;
-  bool MemoryIsShort() const {
+  // 0 if the workspace has no priority of its own.
+  int  PriorityFor(const std::string& workspace) const;
+  // This node is isolated, or its key lease is about to expire while other
+  // nodes reach the log. Clients that stayed connected would be refused until
+  // this node reaches the log again.
+  bool ShouldYieldClients() const;
+  bool IsMemoryLow() const {
     return m_memory->level() != pressure::PressureLevel::kCalm;
   }
   void WatchMemory();
-  // Lets go of clients that do not take their answers, while memory is full.
-  void DropStalledReaders();
+  // Drops clients that do not read their answers, while memory is full.
+  void DropStalledClients();
 
   net::EventLoop*               m_loop;
   const Thresholds*             m_thresholds;
@@ -91,28 +92,28 @@
   Time                          m_started;
   platform::Store               m_store;
   pressure::MemoryBudgetPtr     m_memory;
-  pressure::MemoryCharge        m_held_turns;
+  pressure::MemoryCharge        m_turn_charge;
   Backends                      m_backends;
   TurnStore                     m_turns;
-  fairness::FairSharePolicy     m_begin_share;
-  AdmissionService              m_room;
-  std::vector<TokenCoordinator> m_desks;  // by partition of the claims
+  fairness::FairSharePolicy     m_fairness;
+  AdmissionService              m_admission;
+  std::vector<TokenCoordinator> m_token_coordinators;  // by claim partition
   workspaces::KeyLease          m_key_lease;
   programs::Membership          m_members;
-  std::vector<RateCoordinator> m_rate_desks;  // by partition of the rate claims
-  PeerNetwork                  m_network;
-  RateLimiter                  m_limiter;
-  TurnDispatcher               m_gate;
-  PeerService                  m_peers;
-  SmallServer                  m_readiness;
-  SmallServer                  m_metrics_server;
-  int                          m_listener = -1;
-  bool                         m_servers_known = false;
-  bool                         m_stopping = false;
-  bool                         m_closing = false;
-  Time                         m_stop_due = 0;
-  Time                         m_accepted_at = 0;  // the last connection
-  Time                         m_use_written_at = 0;
+  std::vector<RateCoordinator>  m_rate_coordinators;  // by rate partition
+  PeerNetwork                   m_network;
+  RateLimiter                   m_rate_limiter;
+  TurnDispatcher                m_dispatcher;
+  PeerService                   m_peers;
+  SmallServer                   m_readiness;
+  SmallServer                   m_metrics_server;
+  int                           m_listener = -1;
+  bool                          m_servers_known = false;
+  bool                          m_stopping = false;
+  bool                          m_closing = false;
+  Time                          m_stop_deadline = 0;
+  Time                          m_accepted_at = 0;  // last connection accepted
+  Time                          m_usage_logged_at = 0;
   std::shared_ptr<const traffic::RouteTable> m_routes;
   std::unordered_map<ClientConnection*, std::unique_ptr<ClientConnection>>
       m_clients;
--- a/src/yuccawick/gateway/rate_limiter.cc
+++ b/src/yuccawick/gateway/rate_limiter.cc
@@ -6,40 +6,38 @@
 #include <cmath>
 #include <utility>
 
-// Index: Admitting, Asking.
-
 namespace yuccawick::gateway {
 namespace {
 
 using workspaces::RateRequest;
 using workspaces::RateResponse;
 
-// Homes that are asked one after the other.
-constexpr std::size_t  kMostHomes = 3;
-// Asked for ahead, as so many ms of this node's own demand.
-constexpr double       kAhead = 150.0;
-constexpr int          kMostAhead = 20;
-// With fewer tokens at hand, more are asked for where they are plenty.
-constexpr std::int64_t kLowMark = 2;
+// Coordinators tried in turn.
+constexpr std::size_t  kMaxCoordinators = 3;
+// Tokens requested ahead, as a duration of this node's demand (ms).
+constexpr double       kPrefetchTime = 150.0;
+constexpr int          kMaxPrefetch = 20;
+// Local tokens below which more are requested while they are plenty.
+constexpr std::int64_t kLowWatermark = 2;
 constexpr double       kMillisPerSecond = 1000.0;
-// How long a home's word that tokens are scarce is believed, in ms.
-constexpr Duration     kScarceMemory = 500;
-// A program that was not seen for so long, in ms, has ended.
-constexpr Duration     kProgramMemory = 10'000;
-constexpr Duration     kLeastPause = 25;  // ms between two questions for more
-constexpr Duration     kLocalMemory = 60'000;  // ms
+// How long a report of scarce or plenty tokens applies (ms).
+constexpr Duration     kSupplyReportTtl = 500;
+// Programs not seen for this long (ms) are treated as ended.
+constexpr Duration     kProgramTtl = 10'000;
+constexpr Duration     kMinRequestInterval = 25;  // ms between two requests
+constexpr Duration     kWorkspaceTtl = 60'000;    // ms
 
-// 0 stands for no program.
-workspaces::ProgramHash HashOf(const std::string& program) {
+// 0 if there is no program.
+workspaces::ProgramHash HashProgram(const std::string& program) {
   if (program.empty()) return 0;
   return std::max<workspaces::ProgramHash>(
       1, XXH3_64bits(program.data(), program.size()));
 }
 
-// Fills the list that `init` makes of the size.
+// Writes the programs to the list that `init` creates.
 template <class Init>
-void WriteList(const std::vector<workspaces::ProgramHash>& programs,
-               Init                                        init) {
+void WritePrograms(const std::vector<workspaces::ProgramHash>& programs,
+                   Init                                        init) {
   auto     list = init(static_cast<unsigned>(programs.size()));
   unsigned at = 0;
   for (const auto program : programs) list.set(at++, program);
@@ -49,47 +47,50 @@
 
 RateLimiter::RateLimiter(net::EventLoop* loop, const Thresholds* thresholds,
                          const programs::NodeInfo& self, PeerNetwork* network,
-                         std::vector<RateCoordinator>* desks,
-                         CoordinatorLookup             homes_for)
+                         std::vector<RateCoordinator>* coordinators,
+                         CoordinatorLookup             rank_coordinators)
     : m_loop(loop),
       m_thresholds(thresholds),
       m_self(self),
       m_network(network),
-      m_desks(desks),
-      m_homes_for(std::move(homes_for)) {}
+      m_coordinators(coordinators),
+      m_rank_coordinators(std::move(rank_coordinators)) {}
 
-RateCoordinator& RateLimiter::DeskOf(const std::string& workspace) {
-  return (*m_desks)[static_cast<std::size_t>(RatePartitionOf(workspace))];
+RateCoordinator& RateLimiter::CoordinatorFor(const std::string& workspace) {
+  return (
+      *m_coordinators)[static_cast<std::size_t>(RatePartitionOf(workspace))];
 }
 
 void RateLimiter::Sweep(bool limits) {
   const Time now = m_loop->now();
   std::erase_if(m_programs, [now](const auto& entry) {
-    return now - entry.second > kProgramMemory;
+    return now - entry.second > kProgramTtl;
   });
-  std::erase_if(m_locals, [now](const auto& entry) {
-    const Local& local = entry.second;
-    return local.waiting.empty() && !local.asking &&
-           now - local.used > kLocalMemory;
+  std::erase_if(m_workspaces, [now](const auto& entry) {
+    const WorkspaceState& state = entry.second;
+    return state.waiting.empty() && !state.request_pending &&
+           now - state.last_used > kWorkspaceTtl;
   });
   for (int i = 0; i < kRatePartitions; ++i) {
-    RateCoordinator& desk = (*m_desks)[static_cast<std::size_t>(i)];
-    desk.Sweep();
+    RateCoordinator& coordinator =
+        (*m_coordinators)[static_cast<std::size_t>(i)];
+    coordinator.Sweep();
     if (!limits) continue;
-    const auto homes = m_homes_for(RateCoordinatorKey(i));
-    if (!homes.empty() && homes.front().name == m_self.name) desk.Open();
+    const auto candidates = m_rank_coordinators(RateCoordinatorKey(i));
+    if (!candidates.empty() && candidates.front().name == m_self.name)
+      coordinator.Open();
   }
 }
 
 // Admitting ------------------------------------------------------------------
 
-bool RateLimiter::TakeToken(Local* local, const Waiter& waiter,
-                            RateLimitResult* admission) {
-  admission->token = local->pool.TakeUpTo(1, m_loop->ReadClock());
-  if (admission->token.tokens == 0) return false;
-  admission->outcome = RateLimitOutcome::kAdmitted;
+bool RateLimiter::TakeToken(WorkspaceState* state, const Waiter& waiter,
+                            RateLimitResult* result) {
+  result->token = state->pool.TakeUpTo(1, m_loop->ReadClock());
+  if (result->token.tokens == 0) return false;
+  result->outcome = RateLimitOutcome::kAdmitted;
   if (waiter.program == 0) return true;
-  ++local->steps[waiter.program];
+  ++state->steps[waiter.program];
   m_programs[waiter.program] = m_loop->now();
   return true;
 }
@@ -100,261 +101,273 @@
     done({RateLimitOutcome::kAdmitted, 0, {}});
     return;
   }
-  const Time now = m_loop->now();
-  Local&     local = m_locals[workspace.name];
-  local.used = now;
-  local.demand.Count(1, now);
-  Waiter waiter{HashOf(step.program), true, now, step.patience,
+  const Time      now = m_loop->now();
+  WorkspaceState& state = m_workspaces[workspace.name];
+  state.last_used = now;
+  state.demand.Count(1, now);
+  Waiter waiter{HashProgram(step.program), true, now, step.max_wait,
                 std::move(done)};
   waiter.known = waiter.program == 0 || step.continues ||
                  m_programs.contains(waiter.program);
-  RateLimitResult admission;
-  const bool      scarce = now < local.scarce_until;
-  const bool      may_take = local.waiting.empty() && (waiter.known || !scarce);
-  if (may_take && TakeToken(&local, waiter, &admission)) {
-    Ask(workspace.name);
-    waiter.done(admission);
+  RateLimitResult result;
+  const bool      scarce = now < state.scarce_until;
+  const bool      may_take = state.waiting.empty() && (waiter.known || !scarce);
+  if (may_take && TakeToken(&state, waiter, &result)) {
+    RequestMore(workspace.name);
+    waiter.done(result);
     return;
   }
-  local.waiting.push_back(std::move(waiter));
-  Ask(workspace.name);
+  state.waiting.push_back(std::move(waiter));
+  RequestMore(workspace.name);
 }
 
 void RateLimiter::Refund(const std::string&                  workspace,
                          const workspaces::TokenPool::Batch& token) {
-  m_locals[workspace].pool.Add(token);
+  m_workspaces[workspace].pool.Add(token);
 }
 
 void RateLimiter::Charge(const std::string& workspace) {
-  Local& local = m_locals[workspace];
-  if (!local.pool.Take(m_loop->ReadClock())) ++local.debt;
+  WorkspaceState& state = m_workspaces[workspace];
+  if (!state.pool.Take(m_loop->ReadClock())) ++state.debt;
 }
 
 void RateLimiter::ServeWaiting(const std::string& workspace) {
-  Local&     local = m_locals[workspace];
-  const bool scarce = m_loop->now() < local.scarce_until;
+  WorkspaceState& state = m_workspaces[workspace];
+  const bool      scarce = m_loop->now() < state.scarce_until;
   struct Admitted {
     Done            done;
-    RateLimitResult admission;
+    RateLimitResult result;
   };
   std::vector<Admitted> admitted;
-  std::deque<Waiter>    left;
-  for (Waiter& waiter : local.waiting) {
-    RateLimitResult admission;
+  std::deque<Waiter>    remaining;
+  for (Waiter& waiter : state.waiting) {
+    RateLimitResult result;
     const bool      may_take = waiter.known || !scarce;
-    if (may_take && TakeToken(&local, waiter, &admission)) {
-      admitted.push_back({std::move(waiter.done), admission});
+    if (may_take && TakeToken(&state, waiter, &result)) {
+      admitted.push_back({std::move(waiter.done), result});
     } else {
-      left.push_back(std::move(waiter));
+      remaining.push_back(std::move(waiter));
     }
   }
-  local.waiting = std::move(left);
-  for (const Admitted& each : admitted) each.done(each.admission);
+  state.waiting = std::move(remaining);
+  for (const Admitted& each : admitted) each.done(each.result);
 }
 
-void RateLimiter::TurnAway(const std::string&  workspace,
-                           RateLimitOutcome    outcome,
-                           const RateResponse& answer) {
-  Local&              local = m_locals[workspace];
+void RateLimiter::RefuseWaiting(const std::string&  workspace,
+                                RateLimitOutcome    outcome,
+                                const RateResponse& response) {
+  WorkspaceState&     state = m_workspaces[workspace];
   const Time          now = m_loop->now();
-  std::deque<Waiter>  left;
-  std::vector<Waiter> ended;
-  for (Waiter& waiter : local.waiting) {
-    // An outage of the log, or of a home, ends; a limit that is used up stays
-    // so for longer.
-    const Duration patience = outcome == RateLimitOutcome::kUnsure
-                                  ? waiter.patience
+  std::deque<Waiter>  remaining;
+  std::vector<Waiter> refused;
+  for (Waiter& waiter : state.waiting) {
+    // An outage of the log or a coordinator is usually shorter than the time
+    // until an exhausted limit has tokens again.
+    const Duration max_wait = outcome == RateLimitOutcome::kUnsure
+                                  ? waiter.max_wait
                                   : m_thresholds->rate_wait;
-    // A program that may not begin now is told at once; one under way waits
-    // while that is of use.
-    const bool     useless = now + std::max(answer.retry_delay, kLeastPause) >=
-                         waiter.since + patience;
-    const bool ends = useless || (!waiter.known && answer.scarce);
-    (ends ? ended.emplace_back(std::move(waiter))
-          : left.emplace_back(std::move(waiter)));
+    // New programs are refused at once while tokens are scarce; running ones
+    // wait as long as a token can arrive in time.
+    const bool     too_late =
+        now + std::max(response.retry_delay, kMinRequestInterval) >=
+        waiter.since + max_wait;
+    const bool ends = too_late || (!waiter.known && response.scarce);
+    (ends ? refused.emplace_back(std::move(waiter))
+          : remaining.emplace_back(std::move(waiter)));
   }
-  local.waiting = std::move(left);
-  for (const Waiter& waiter : ended) {
+  state.waiting = std::move(remaining);
+  for (const Waiter& waiter : refused) {
     waiter.done(
         {outcome,
-         waiter.known ? answer.retry_delay : answer.new_program_retry_delay,
+         waiter.known ? response.retry_delay : response.new_program_retry_delay,
          {}});
   }
 }
 
-// Asking ---------------------------------------------------------------------
+// Requesting -----------------------------------------------------------------
 
-RateRequest RateLimiter::NextAsk(const std::string& workspace,
-                                 Local*             local) const {
+RateRequest RateLimiter::BuildRequest(const std::string& workspace,
+                                      WorkspaceState*    state) const {
   const Time  now = m_loop->now();
-  RateRequest ask;
-  ask.workspace = workspace;
-  for (const Waiter& waiter : local->waiting) {
+  RateRequest request;
+  request.workspace = workspace;
+  for (const Waiter& waiter : state->waiting) {
     if (waiter.known) {
-      ++ask.want;
+      ++request.want;
     } else {
-      ask.waiting.push_back(waiter.program);
+      request.waiting.push_back(waiter.program);
     }
   }
-  ask.want += static_cast<int>(local->debt);
-  for (const auto& [program, tokens] : std::exchange(local->steps, {})) {
-    ask.steps.push_back({program, tokens});
+  request.want += static_cast<int>(state->debt);
+  for (const auto& [program, tokens] : std::exchange(state->steps, {})) {
+    request.steps.push_back({program, tokens});
   }
-  for (const auto& ended : local->pool.TakeExpired(m_loop->ReadClock())) {
-    ask.unused.push_back({workspace, -ended.tokens, ended.origin});
+  for (const auto& expired : state->pool.TakeExpired(m_loop->ReadClock())) {
+    request.unused.push_back({workspace, -expired.tokens, expired.origin});
   }
-  if (now >= local->scarce_until) {
-    ask.want +=
-        std::min(kMostAhead, static_cast<int>(local->demand.PerSecond(now) *
-                                              kAhead / kMillisPerSecond));
+  if (now >= state->scarce_until) {
+    request.want += std::min(
+        kMaxPrefetch, static_cast<int>(state->demand.PerSecond(now) *
+                                       kPrefetchTime / kMillisPerSecond));
   }
-  return ask;
+  return request;
 }
 
-void RateLimiter::Ask(const std::string& workspace) {
-  Local&     local = m_locals[workspace];
-  const Time now = m_loop->now();
-  const bool ahead =
-      now < local.plenty_until && local.pool.Available(now) < kLowMark;
-  if (local.asking || (local.waiting.empty() && !ahead)) return;
-  local.asking = true;
-  AskRank(NextAsk(workspace, &local), 0, m_loop->now());
+void RateLimiter::RequestMore(const std::string& workspace) {
+  WorkspaceState& state = m_workspaces[workspace];
+  const Time      now = m_loop->now();
+  const bool      ahead =
+      now < state.plenty_until && state.pool.Available(now) < kLowWatermark;
+  if (state.request_pending || (state.waiting.empty() && !ahead)) return;
+  state.request_pending = true;
+  RequestFromRank(BuildRequest(workspace, &state), 0, m_loop->now());
 }
 
-void RateLimiter::AskRank(const RateRequest& ask, std::size_t rank,
-                          Time asked) {
-  const auto homes =
-      m_homes_for(RateCoordinatorKey(RatePartitionOf(ask.workspace)));
-  if (rank >= std::min(homes.size(), kMostHomes)) {
+void RateLimiter::RequestFromRank(const RateRequest& request, std::size_t rank,
+                                  Time requested_at) {
+  const auto candidates = m_rank_coordinators(
+      RateCoordinatorKey(RatePartitionOf(request.workspace)));
+  if (rank >= std::min(candidates.size(), kMaxCoordinators)) {
     RateResponse unsure;
     unsure.unsure = true;
-    TakeAnswer(ask, unsure, asked);
+    OnResponse(request, unsure, requested_at);
     return;
   }
-  const auto answered = [this, ask, rank, asked](const RateResponse& answer) {
-    if (answer.unsure) {
-      // It does not reach the log; who takes its place may.
-      AskRank(ask, rank + 1, asked);
+  const auto on_response = [this, request, rank,
+                            requested_at](const RateResponse& response) {
+    if (response.unsure) {
+      // It cannot reach the log; the next coordinator may.
+      RequestFromRank(request, rank + 1, requested_at);
     } else {
-      TakeAnswer(ask, answer, asked);
+      OnResponse(request, response, requested_at);
     }
   };
-  if (homes[rank].name == m_self.name) {
-    DeskOf(ask.workspace).RequestTokens(ask, answered);
+  if (candidates[rank].name == m_self.name) {
+    CoordinatorFor(request.workspace).RequestTokens(request, on_response);
   } else {
-    AskNode(homes[rank], ask, answered);
+    RequestFromNode(candidates[rank], request, on_response);
   }
 }
 
-void RateLimiter::AskNode(const programs::NodeInfo&    home,
-                          const RateRequest&           ask,
-                          const RateCoordinator::Done& done) {
+void RateLimiter::RequestFromNode(const programs::NodeInfo&    coordinator,
+                                  const RateRequest&           request,
+                                  const RateCoordinator::Done& done) {
   m_network->SendRequest(
-      home,
-      [&ask](PeerMessage::Builder message) {
-        auto asked = message.initRateAsk();
-        asked.setWorkspace(ask.workspace);
-        asked.setWant(static_cast<std::uint16_t>(ask.want));
-        WriteList(ask.waiting,
-                  [&](auto size) { return asked.initWaiting(size); });
-        auto steps = asked.initSteps(static_cast<unsigned>(ask.steps.size()));
+      coordinator,
+      [&request](PeerMessage::Builder message) {
+        auto builder = message.initRateAsk();
+        builder.setWorkspace(request.workspace);
+        builder.setWant(static_cast<std::uint16_t>(request.want));
+        WritePrograms(request.waiting,
+                      [&](auto size) { return builder.initWaiting(size); });
+        auto steps =
+            builder.initSteps(static_cast<unsigned>(request.steps.size()));
         for (unsigned i = 0; i < steps.size(); ++i) {
-          steps[i].setProgram(ask.steps[i].program);
-          steps[i].setTokens(static_cast<std::uint32_t>(ask.steps[i].tokens));
+          steps[i].setProgram(request.steps[i].program);
+          steps[i].setTokens(
+              static_cast<std::uint32_t>(request.steps[i].tokens));
         }
         auto unused =
-            asked.initUnused(static_cast<unsigned>(ask.unused.size()));
+            builder.initUnused(static_cast<unsigned>(request.unused.size()));
         for (unsigned i = 0; i < unused.size(); ++i) {
-          unused[i].setTokens(static_cast<std::int32_t>(ask.unused[i].tokens));
-          unused[i].setOrigin(ask.unused[i].origin);
+          unused[i].setTokens(
+              static_cast<std::int32_t>(request.unused[i].tokens));
+          unused[i].setOrigin(request.unused[i].origin);
         }
       },
       m_thresholds->rate_timeout,
       [done](std::optional<PeerMessage::Reader> message) {
-        RateResponse answer;
-        answer.unsure = !message || !message->isRateAnswer();
-        if (!answer.unsure) {
-          const auto told = message->getRateAnswer();
-          answer.unsure = told.getUnsure();
-          answer.tokens = told.getTokens();
-          for (const auto program : told.getMayGoOn()) {
-            answer.may_go_on.push_back(program);
+        RateResponse response;
+        response.unsure = !message || !message->isRateAnswer();
+        if (!response.unsure) {
+          const auto reader = message->getRateAnswer();
+          response.unsure = reader.getUnsure();
+          response.tokens = reader.getTokens();
+          for (const auto program : reader.getMayGoOn()) {
+            response.may_go_on.push_back(program);
           }
-          answer.origin = told.getOrigin();
-          answer.valid = told.getValidMs();
-          answer.retry_delay = told.getRetryMs();
-          answer.new_program_retry_delay = told.getBeginRetryMs();
-          answer.scarce = told.getScarce();
-          answer.plenty = told.getPlenty();
+          response.origin = reader.getOrigin();
+          response.valid = reader.getValidMs();
+          response.retry_delay = reader.getRetryMs();
+          response.new_program_retry_delay = reader.getBeginRetryMs();
+          response.scarce = reader.getScarce();
+          response.plenty = reader.getPlenty();
         }
-        done(answer);
+        done(response);
       });
 }
 
-void RateLimiter::TakeAnswer(const RateRequest& ask, const RateResponse& answer,
-                             Time asked) {
-  Local& local = m_locals[ask.workspace];
-  local.asking = false;
-  if (answer.scarce) local.scarce_until = m_loop->now() + kScarceMemory;
-  local.plenty_until = answer.plenty ? m_loop->now() + kScarceMemory : 0;
-  const auto paid = std::min<std::int64_t>(local.debt, answer.tokens);
-  local.debt -= paid;
-  // Counted from when it was asked: the answer took some of the time.
-  local.pool.Add({answer.tokens - paid, asked + answer.valid, answer.origin});
-  for (Waiter& waiter : local.waiting) {
-    const auto& go_on = answer.may_go_on;
-    if (std::find(go_on.begin(), go_on.end(), waiter.program) == go_on.end()) {
+void RateLimiter::OnResponse(const RateRequest&  request,
+                             const RateResponse& response, Time requested_at) {
+  WorkspaceState& state = m_workspaces[request.workspace];
+  state.request_pending = false;
+  if (response.scarce) state.scarce_until = m_loop->now() + kSupplyReportTtl;
+  state.plenty_until = response.plenty ? m_loop->now() + kSupplyReportTtl : 0;
+  const auto paid = std::min<std::int64_t>(state.debt, response.tokens);
+  state.debt -= paid;
+  // Validity starts at the request, since the transit time is unknown.
+  state.pool.Add(
+      {response.tokens - paid, requested_at + response.valid, response.origin});
+  for (Waiter& waiter : state.waiting) {
+    const auto& admitted_programs = response.may_go_on;
+    if (std::find(admitted_programs.begin(), admitted_programs.end(),
+                  waiter.program) == admitted_programs.end()) {
       continue;
     }
     m_programs[waiter.program] = m_loop->now();
     waiter.known = true;
   }
-  ServeWaiting(ask.workspace);
-  TurnAway(ask.workspace,
-           answer.unsure ? RateLimitOutcome::kUnsure : RateLimitOutcome::kOver,
-           answer);
-  if (m_locals[ask.workspace].waiting.empty()) return;
-  AskLater(ask.workspace,
-           answer.unsure ? m_thresholds->reserve_pause
-           : answer.tokens > 0
-               ? 0
-               : std::max<Duration>(answer.retry_delay, kLeastPause));
+  ServeWaiting(request.workspace);
+  RefuseWaiting(request.workspace,
+                response.unsure ? RateLimitOutcome::kUnsure
+                                : RateLimitOutcome::kOverLimit,
+                response);
+  if (m_workspaces[request.workspace].waiting.empty()) return;
+  ScheduleRequest(
+      request.workspace,
+      response.unsure ? m_thresholds->reserve_pause
+      : response.tokens > 0
+          ? 0
+          : std::max<Duration>(response.retry_delay, kMinRequestInterval));
 }
 
-void RateLimiter::AskLater(const std::string& workspace, Duration delay) {
-  m_loop->After(delay, [this, workspace] { Ask(workspace); });
+void RateLimiter::ScheduleRequest(const std::string& workspace,
+                                  Duration           delay) {
+  m_loop->After(delay, [this, workspace] { RequestMore(workspace); });
 }
 
 void RateLimiter::ServeRequest(PeerMessage::Reader       message,
                                const PeerNetwork::Reply& reply) {
-  const auto  asked = message.getRateAsk();
-  RateRequest ask;
-  ask.workspace = asked.getWorkspace().cStr();
-  ask.want = asked.getWant();
-  for (const auto program : asked.getWaiting()) ask.waiting.push_back(program);
-  for (const auto& step : asked.getSteps()) {
-    ask.steps.push_back({step.getProgram(), step.getTokens()});
+  const auto  reader = message.getRateAsk();
+  RateRequest request;
+  request.workspace = reader.getWorkspace().cStr();
+  request.want = reader.getWant();
+  for (const auto program : reader.getWaiting())
+    request.waiting.push_back(program);
+  for (const auto& step : reader.getSteps()) {
+    request.steps.push_back({step.getProgram(), step.getTokens()});
   }
-  for (const auto& unused : asked.getUnused()) {
-    ask.unused.push_back(
-        {ask.workspace, unused.getTokens(), unused.getOrigin()});
+  for (const auto& unused : reader.getUnused()) {
+    request.unused.push_back(
+        {request.workspace, unused.getTokens(), unused.getOrigin()});
   }
-  DeskOf(ask.workspace).RequestTokens(ask, [reply](const RateResponse& answer) {
-    reply([&answer](PeerMessage::Builder told) {
-      auto rate = told.initRateAnswer();
-      rate.setUnsure(answer.unsure);
-      rate.setTokens(static_cast<std::uint16_t>(answer.tokens));
-      WriteList(answer.may_go_on,
-                [&](auto size) { return rate.initMayGoOn(size); });
-      rate.setOrigin(answer.origin);
-      rate.setValidMs(static_cast<std::uint32_t>(answer.valid));
-      rate.setRetryMs(static_cast<std::uint32_t>(answer.retry_delay));
-      rate.setBeginRetryMs(
-          static_cast<std::uint32_t>(answer.new_program_retry_delay));
-      rate.setScarce(answer.scarce);
-      rate.setPlenty(answer.plenty);
-    });
-  });
+  CoordinatorFor(request.workspace)
+      .RequestTokens(request, [reply](const RateResponse& response) {
+        reply([&response](PeerMessage::Builder builder) {
+          auto rate = builder.initRateAnswer();
+          rate.setUnsure(response.unsure);
+          rate.setTokens(static_cast<std::uint16_t>(response.tokens));
+          WritePrograms(response.may_go_on,
+                        [&](auto size) { return rate.initMayGoOn(size); });
+          rate.setOrigin(response.origin);
+          rate.setValidMs(static_cast<std::uint32_t>(response.valid));
+          rate.setRetryMs(static_cast<std::uint32_t>(response.retry_delay));
+          rate.setBeginRetryMs(
+              static_cast<std::uint32_t>(response.new_program_retry_delay));
+          rate.setScarce(response.scarce);
+          rate.setPlenty(response.plenty);
+        });
+      });
 }
 
 }  // namespace yuccawick::gateway
--- a/src/yuccawick/gateway/rate_limiter.h
+++ b/src/yuccawick/gateway/rate_limiter.h
@@ -1,14 +1,13 @@
-// Keeps each workspace within its rate limit, over all nodes.
+// Enforces the rate limit of each workspace across all nodes.
 //
-// Each workspace has a home, a node that claims tokens in the platform's log
-// and hands them to the others; see workspaces/rate_ledger.h for why no two
-// homes together can hand out too many. A request takes a token that is at
-// hand, or waits for the home's answer, a few ms. What a request took and did
-// not use goes back.
+// Each workspace has a coordinator, a node that claims tokens in the platform's
+// log and grants them to the other nodes; workspaces/rate_ledger.h explains why
+// two coordinators cannot exceed the limit together. A request takes a local
+// token, or waits for the coordinator's response.
 //
-//   Acquire(workspace, program, done)  `done` once: admitted, or why not
-//   Refund(workspace, token)           the request was not sent to a server
-//   Charge(workspace)                  a request is sent again, may run twice
+//   Acquire(workspace, step, done)  calls `done` once with the result
+//   Refund(workspace, token)        returns the token of an unsent request
+//   Charge(workspace)               charges a resend that may run twice
 #pragma once
 
 #include <deque>
@@ -28,33 +27,34 @@
 
 enum class RateLimitOutcome : std::uint8_t {
   kAdmitted,
-  kOver,    // the workspace has used up its limit
-  kUnsure,  // no home answers
+  kOverLimit,  // the workspace has reached its limit
+  kUnsure,     // no coordinator is reachable
 };
 
 struct RateLimitResult {
   RateLimitOutcome             outcome = RateLimitOutcome::kUnsure;
-  Duration                     retry_delay = 0;  // ms until there may be room
-  workspaces::TokenPool::Batch token;            // none: no limit
+  Duration                     retry_delay = 0;  // ms
+  workspaces::TokenPool::Batch token;            // 0 tokens if unlimited
 };
 
-// What a request says of the program that it belongs to.
+// The program of a request, for the order of admission.
 struct ProgramStep {
   std::string program;            // scoped; empty: none
-  bool        continues = false;  // names an earlier turn
-  Duration    patience = 0;       // ms that it waits while no home answers
+  bool        continues = false;  // continues an earlier turn
+  Duration    max_wait = 0;       // ms to wait for a coordinator
 };
 
 class RateLimiter {
  public:
   using Done = std::function<void(const RateLimitResult&)>;
-  // The nodes that may be home of a key, the first choice first.
+  // The nodes that may coordinate a key, best candidate first.
   using CoordinatorLookup =
       std::function<std::vector<programs::NodeInfo>(const std::string& key)>;
 
   RateLimiter(net::EventLoop* loop, const Thresholds* thresholds,
               const programs::NodeInfo& self, PeerNetwork* network,
-              std::vector<RateCoordinator>* desks, CoordinatorLookup homes_for);
+              std::vector<RateCoordinator>* coordinators,
+              CoordinatorLookup             rank_coordinators);
 
   void Acquire(const workspaces::Workspace& workspace, const ProgramStep& step,
                Done done);
@@ -62,66 +62,66 @@
               const workspaces::TokenPool::Batch& token);
   void Charge(const std::string& workspace);
 
-  // A question of another node.
+  // Handles a rate request of another node.
   void ServeRequest(PeerMessage::Reader       message,
                     const PeerNetwork::Reply& reply);
-  // Opens the desks that this node is home of; call about twice a second.
-  // `limits`: the manifest has any.
+  // Opens the partitions that this node coordinates; call about twice a
+  // second. `limits`: whether the manifest has rate limits.
   void Sweep(bool limits);
 
  private:
   struct Waiter {
-    workspaces::ProgramHash program = 0;   // 0: none
-    bool                    known = true;  // to this node, or no program
+    workspaces::ProgramHash program = 0;   // 0 if none
+    bool                    known = true;  // seen by this node, or no program
     Time                    since = 0;
-    Duration                patience = 0;  // while no home answers
+    Duration                max_wait = 0;  // ms to wait for a coordinator
     Done                    done;
   };
-  struct Local {
+  struct WorkspaceState {
     workspaces::TokenPool                           pool;
-    workspaces::RateMeter                           demand{kDemandMemory};
+    workspaces::RateMeter                           demand{kDemandWindow};
     std::deque<Waiter>                              waiting;
-    bool                                            asking = false;
+    bool                                            request_pending = false;
     Time                                            scarce_until = 0;
     Time                                            plenty_until = 0;
-    // What programs took since the last question.
+    // Tokens taken by each program since the last request.
     std::map<workspaces::ProgramHash, std::int64_t> steps;
-    std::int64_t debt = 0;  // tokens used without having them
-    Time         used = 0;
+    std::int64_t debt = 0;  // tokens used but not granted
+    Time         last_used = 0;
   };
 
-  bool                    TakeToken(Local* local, const Waiter& waiter,
-                                    RateLimitResult* admission);
-  workspaces::RateRequest NextAsk(const std::string& workspace,
-                                  Local*             local) const;
-  // Asks if a request waits, or if tokens are plenty and nearly gone here.
-  void                    Ask(const std::string& workspace);
-  void AskRank(const workspaces::RateRequest& ask, std::size_t rank,
-               Time asked);
-  void AskNode(const programs::NodeInfo&      home,
-               const workspaces::RateRequest& ask,
-               const RateCoordinator::Done&   done);
-  void TakeAnswer(const workspaces::RateRequest&  ask,
-                  const workspaces::RateResponse& answer, Time asked);
-  void AskLater(const std::string& workspace, Duration delay);
-  // Answers whom it can from what is at hand.
+  bool                    TakeToken(WorkspaceState* state, const Waiter& waiter,
+                                    RateLimitResult* result);
+  workspaces::RateRequest BuildRequest(const std::string& workspace,
+                                       WorkspaceState*    state) const;
+  // Requests tokens if anyone waits, or ahead of need while they are plenty.
+  void                    RequestMore(const std::string& workspace);
+  void RequestFromRank(const workspaces::RateRequest& request, std::size_t rank,
+                       Time requested_at);
+  void RequestFromNode(const programs::NodeInfo&      coordinator,
+                       const workspaces::RateRequest& request,
+                       const RateCoordinator::Done&   done);
+  void OnResponse(const workspaces::RateRequest&  request,
+                  const workspaces::RateResponse& response, Time requested_at);
+  void ScheduleRequest(const std::string& workspace, Duration delay);
+  // Admits waiting requests with local tokens.
   void ServeWaiting(const std::string& workspace);
-  // Ends the waits of those that would wait too long.
-  void TurnAway(const std::string& workspace, RateLimitOutcome outcome,
-                const workspaces::RateResponse& answer);
-  RateCoordinator& DeskOf(const std::string& workspace);
+  // Refuses the requests that would wait too long.
+  void RefuseWaiting(const std::string& workspace, RateLimitOutcome outcome,
+                     const workspaces::RateResponse& response);
+  RateCoordinator& CoordinatorFor(const std::string& workspace);
 
-  net::EventLoop*                                   m_loop;
-  const Thresholds*                                 m_thresholds;
-  programs::NodeInfo                                m_self;
-  PeerNetwork*                                      m_network;
-  std::vector<RateCoordinator>*                     m_desks;  // by partition
-  CoordinatorLookup                                 m_homes_for;
-  std::unordered_map<std::string, Local>            m_locals;  // by workspace
-  // Programs under way, when they were last seen here.
+  net::EventLoop*               m_loop;
+  const Thresholds*             m_thresholds;
+  programs::NodeInfo            m_self;
+  PeerNetwork*                  m_network;
+  std::vector<RateCoordinator>* m_coordinators;  // by partition
+  CoordinatorLookup             m_rank_coordinators;
+  std::unordered_map<std::string, WorkspaceState>   m_workspaces;  // by name
+  // Active programs, with the time they were last seen.
   std::unordered_map<workspaces::ProgramHash, Time> m_programs;
 
-  static constexpr Duration kDemandMemory = 400;  // ms
+  static constexpr Duration kDemandWindow = 400;  // ms
 };
 
 }  // namespace yuccawick::gateway
--- a/src/yuccawick/gateway/turn_dispatcher.cc
+++ b/src/yuccawick/gateway/turn_dispatcher.cc
@@ -2,40 +2,41 @@
 
 namespace yuccawick::gateway {
 
-TurnDispatcher::Service* TurnDispatcher::ServiceOf(const std::string& name) {
+TurnDispatcher::Service* TurnDispatcher::GetService(const std::string& name) {
   const auto entry = m_services.try_emplace(
       name, Service{traffic::ConcurrencyLimit(m_settings), {}});
   return &entry.first->second;
 }
 
 TurnDispatcher::Id TurnDispatcher::Enqueue(const std::string& service,
-                                           double place, Duration objective,
-                                           Go go) {
-  const Id id = ++m_last;
-  Service* of = ServiceOf(service);
-  m_turns.emplace(id, Turn{of, {place, id}, objective, 0});
-  of->waiting.emplace(Place{place, id}, std::move(go));
-  LetGo(of);
+                                           double rank, Duration target_latency,
+                                           StartCallback start) {
+  const Id id = ++m_last_id;
+  Service* queue = GetService(service);
+  m_turns.emplace(id, Turn{queue, {rank, id}, target_latency, 0});
+  queue->waiting.emplace(QueueKey{rank, id}, std::move(start));
+  StartEligible(queue);
   return id;
 }
 
-void TurnDispatcher::LetGo(Service* service) {
+void TurnDispatcher::StartEligible(Service* service) {
   while (!service->waiting.empty() &&
-         service->limit.MayStart(service->under_way, m_loop->now())) {
-    const auto first = service->waiting.begin();
-    const Go   go = std::move(first->second);
-    m_turns.at(first->first.second).sent = m_loop->now();
+         service->limit.MayStart(service->running, m_loop->now())) {
+    const auto          first = service->waiting.begin();
+    const StartCallback start = std::move(first->second);
+    m_turns.at(first->first.second).sent_time = m_loop->now();
     service->waiting.erase(first);
-    ++service->under_way;
-    go();
+    ++service->running;
+    start();
   }
 }
 
 void TurnDispatcher::FirstEvent(Id id) {
   const auto found = m_turns.find(id);
-  if (found == m_turns.end() || found->second.sent == 0) return;
-  found->second.service->limit.Observe(m_loop->now() - found->second.sent,
-                                       found->second.objective, m_loop->now());
+  if (found == m_turns.end() || found->second.sent_time == 0) return;
+  found->second.service->limit.Observe(m_loop->now() - found->second.sent_time,
+                                       found->second.target_latency,
+                                       m_loop->now());
 }
 
 void TurnDispatcher::Release(Id* id) {
@@ -43,17 +44,17 @@
   if (found == m_turns.end()) return;
   const Turn turn = found->second;
   m_turns.erase(found);
-  if (turn.sent == 0) {
-    turn.service->waiting.erase(turn.place);
+  if (turn.sent_time == 0) {
+    turn.service->waiting.erase(turn.key);
     return;
   }
-  --turn.service->under_way;
-  // Later: who leaves may be on the call stack.
-  m_loop->Defer([this, service = turn.service] { LetGo(service); });
+  --turn.service->running;
+  // Deferred: the caller may be on the call stack of a start callback.
+  m_loop->Defer([this, service = turn.service] { StartEligible(service); });
 }
 
 void TurnDispatcher::Sweep() {
-  for (auto& [name, service] : m_services) LetGo(&service);
+  for (auto& [name, service] : m_services) StartEligible(&service);
 }
 
 std::size_t TurnDispatcher::waiting() const {
--- a/src/yuccawick/gateway/turn_dispatcher.h
+++ b/src/yuccawick/gateway/turn_dispatcher.h
@@ -1,10 +1,10 @@
-// Turns that wait for a model server, of one node; see
-// traffic/concurrency_limit.h for which goes when.
+// Queues the turns of one node for the model servers of each service, and
+// starts them within traffic/concurrency_limit.h. Exchange enqueues each turn;
+// Gateway calls Sweep().
 //
-//   Enqueue(place, go)  `go` is called once a turn may be sent, perhaps at
-//                       once
-//   FirstEvent(id)      its server began to answer
-//   Release(&id)        it ended, or does not want to wait any more
+//   Enqueue(...)    calls `start` once the turn may be sent, possibly at once
+//   FirstEvent(id)  the server sent the first event of the turn
+//   Release(&id)    the turn ended, or gave up waiting
 #pragma once
 
 #include <cstdint>
@@ -22,45 +22,45 @@
 
 class TurnDispatcher {
  public:
-  using Id = std::uint64_t;  // 0 names no turn
-  using Go = std::function<void()>;
+  using Id = std::uint64_t;  // 0: no turn
+  using StartCallback = std::function<void()>;
 
   TurnDispatcher(net::EventLoop*                          loop,
                  const traffic::ConcurrencyLimitSettings& settings)
       : m_loop(loop), m_settings(settings) {}
 
-  // `service`: whose servers the turn is for. `objective`: within what time its
-  // first event is to come, in ms; 0: not said.
-  Id   Enqueue(const std::string& service, double place, Duration objective,
-               Go go);
+  // Turns with a lower `rank` start first. `target_latency`: of the first event
+  // (ms); 0 if none.
+  Id   Enqueue(const std::string& service, double rank, Duration target_latency,
+               StartCallback start);
   void FirstEvent(Id id);
   void Release(Id* id);  // sets it to 0
-  // Lets those go that may; call often, since limits grow with time.
+  // Starts eligible turns; call often, since limits grow with time.
   void Sweep();
 
   std::size_t waiting() const;
 
  private:
-  using Place = std::pair<double, Id>;  // the earlier one first among equals
+  using QueueKey = std::pair<double, Id>;  // equal ranks: lower id first
   struct Service {
-    traffic::ConcurrencyLimit limit;
-    std::map<Place, Go>       waiting;
-    int                       under_way = 0;
+    traffic::ConcurrencyLimit         limit;
+    std::map<QueueKey, StartCallback> waiting;
+    int                               running = 0;
   };
   struct Turn {
     Service* service = nullptr;
-    Place    place;
-    Duration objective = 0;
-    Time     sent = 0;  // 0: it waits
+    QueueKey key;
+    Duration target_latency = 0;
+    Time     sent_time = 0;  // 0 while waiting
   };
-  Service* ServiceOf(const std::string& name);
-  void     LetGo(Service* service);
+  Service* GetService(const std::string& name);
+  void     StartEligible(Service* service);
 
   net::EventLoop*                          m_loop;
   traffic::ConcurrencyLimitSettings        m_settings;
   std::unordered_map<std::string, Service> m_services;
   std::unordered_map<Id, Turn>             m_turns;
-  Id                                       m_last = 0;
+  Id                                       m_last_id = 0;
 };
 
 }  // namespace yuccawick::gateway
