--- a/tests/turn_limit_test.cc
+++ b/tests/turn_limit_test.cc
@@ -1,6 +1,6 @@
-// Where turns wait when there are more than the servers carry, and which go
-// first: a node finds the servers' limit by itself, and programs end in time in
-// a burst, not a little of each.
+// Tests of the concurrency limit and the dispatch queue: nodes detect the limit
+// of the servers, and under overload complete some programs in time instead of
+// delaying all of them.
 #include <criterion/criterion.h>
 
 #include <algorithm>
@@ -23,113 +23,118 @@
 using traffic::ConcurrencyLimit;
 using traffic::ConcurrencyLimitSettings;
 
-// The limit sets in where first events miss their objective.
-constexpr ConcurrencyLimitSettings kOn{1.0};
+// Limits turns once first events exceed their target latency.
+constexpr ConcurrencyLimitSettings kEnabled{1.0};
 constexpr unsigned                 kSeeds = 5;
 constexpr int                      kServers = 12;
 constexpr int                      kSlots = 6;
-// ms until the first event at an idle server, and at one whose slots are full.
-constexpr Duration                 kFirst = 50;
-constexpr Duration                 kFirstFull = 100;
-// Within what time first events are to come, in ms.
-constexpr Duration                 kObjective = 200;
-constexpr Duration kTurn = 160;  // ms that a turn holds its slot
-constexpr int      kNodes = 6;
-constexpr int      kTurnsOfProgram = 6;
-constexpr Duration kTool = 30;  // ms between two turns
+// Latency of the first event at an idle and at a full server (ms).
+constexpr Duration                 kFirstEvent = 50;
+constexpr Duration                 kFirstEventAtFull = 100;
+// Target latency of first events (ms).
+constexpr Duration                 kTargetLatency = 200;
+constexpr Duration                 kTurnTime = 160;  // ms in a slot
+constexpr int                      kNodes = 6;
+constexpr int                      kTurnsPerProgram = 6;
+constexpr Duration                 kThinkTime = 30;  // ms
 
-// Servers with slots, each with a queue in the order of coming; nodes with a
-// gate each, or none; programs of some turns, one after the other. A step of
-// the clock is a millisecond.
-class Burst {
+// Simulates programs of consecutive turns on servers with slots and FIFO
+// queues, with or without a dispatcher on each node. The clock advances in
+// steps of 1 ms.
+class BurstSimulation {
  public:
-  Burst(unsigned seed, bool gates)
-      : m_random(seed), m_loop([this] { return m_now; }), m_gates_on(gates) {
+  BurstSimulation(unsigned seed, bool with_dispatchers)
+      : m_random(seed),
+        m_loop([this] { return m_now; }),
+        m_use_dispatchers(with_dispatchers) {
     for (int i = 0; i < kNodes; ++i) {
-      m_gates.push_back(std::make_unique<TurnDispatcher>(&m_loop, kOn));
+      m_dispatchers.push_back(
+          std::make_unique<TurnDispatcher>(&m_loop, kEnabled));
     }
   }
 
   struct Outcome {
-    int begun = 0;
+    int started = 0;
     int in_time = 0;
   };
 
-  // Programs begin at `per_second`, `factor` times as many from 4 to 8 s; those
-  // that began from then until 10 s count.
+  // Starts `per_second` programs, and `factor` times as many from 4 to 8 s.
+  // Counts the programs started from 4 to 10 s.
   Outcome Run(double per_second, double factor) {
     for (m_now = 0; m_now < 20'000; ++m_now) {
       const bool   burst = m_now >= 4000 && m_now < 8000;
       const double rate = per_second * (burst ? factor : 1.0) / 1000;
       std::poisson_distribution<int> arrivals(rate);
-      for (int i = arrivals(m_random); i > 0; --i) Begin();
-      RunDue();
+      for (int i = arrivals(m_random); i > 0; --i) StartProgram();
+      RunEvents();
       for (Server& server : m_servers) Serve(&server);
       m_loop.RunOnce(0);
       if (m_now % 50 == 0) {
-        for (auto& gate : m_gates) gate->Sweep();
+        for (auto& dispatcher : m_dispatchers) dispatcher->Sweep();
       }
     }
     Outcome outcome;
     for (const Program& program : m_programs) {
-      if (program.began < 4000 || program.began >= 10'000) continue;
-      ++outcome.begun;
-      const bool in_time =
-          program.ended > 0 && program.ended - program.began <= kAim;
+      if (program.start_time < 4000 || program.start_time >= 10'000) continue;
+      ++outcome.started;
+      const bool in_time = program.end_time > 0 &&
+                           program.end_time - program.start_time <= kDeadline;
       outcome.in_time += in_time ? 1 : 0;
     }
     return outcome;
   }
 
-  // What the servers carry, in programs a second.
+  // Throughput of all servers in programs per second.
   static double Capacity() {
-    return kServers * kSlots * 1000.0 / kTurn / kTurnsOfProgram;
+    return kServers * kSlots * 1000.0 / kTurnTime / kTurnsPerProgram;
   }
 
  private:
-  // One and a half times what a program takes alone.
-  static constexpr Duration kAim = kTurnsOfProgram * (kTurn + kTool) * 3 / 2;
+  // Deadline: 1.5 times the duration without queueing (ms).
+  static constexpr Duration kDeadline =
+      kTurnsPerProgram * (kTurnTime + kThinkTime) * 3 / 2;
 
   struct Program {
     std::string        id;
-    Time               began = 0;
-    Time               ended = 0;
+    Time               start_time = 0;
+    Time               end_time = 0;
     int                turns = 0;
-    TurnDispatcher::Id at_gate = 0;
+    TurnDispatcher::Id dispatch_id = 0;
   };
   struct Server {
-    std::vector<std::pair<Time, std::size_t>> running;  // until, program
+    std::vector<std::pair<Time, std::size_t>> running;  // end, program
     std::deque<std::size_t>                   queue;
   };
 
-  void Begin() {
+  void StartProgram() {
     Program program;
     program.id = "p" + std::to_string(m_programs.size());
-    program.began = m_now;
+    program.start_time = m_now;
     m_programs.push_back(program);
-    NextTurn(m_programs.size() - 1);
+    StartTurn(m_programs.size() - 1);
   }
 
-  TurnDispatcher& GateOf(std::size_t program) {
-    // Another node for each turn.
-    return *m_gates[(program +
-                     static_cast<std::size_t>(m_programs[program].turns)) %
-                    kNodes];
+  TurnDispatcher& DispatcherFor(std::size_t program) {
+    // Each turn uses another node.
+    return *m_dispatchers[(program + static_cast<std::size_t>(
+                                         m_programs[program].turns)) %
+                          kNodes];
   }
 
-  void NextTurn(std::size_t number) {
-    if (!m_gates_on) {
+  void StartTurn(std::size_t number) {
+    if (!m_use_dispatchers) {
       Send(number);
       return;
     }
     Program&       program = m_programs[number];
-    const Duration left = kAim - (m_now - program.began);
-    program.at_gate =
-        GateOf(number).Enqueue("llm", traffic::QueueRank(program.id, 0, left),
-                               kObjective, [this, number] { Send(number); });
+    const Duration left = kDeadline - (m_now - program.start_time);
+    program.dispatch_id = DispatcherFor(number).Enqueue(
+        "llm", traffic::QueueRank(program.id, 0, left), kTargetLatency,
+        [this, number] { Send(number); });
   }
 
-  // To a server by chance, the less busy of two: news of others are old.
+  // Sends to the less loaded of two random servers, as nodes with outdated
+  // peer reports do.
   void Send(std::size_t number) {
     std::uniform_int_distribution<std::size_t> pick(0, kServers - 1);
     Server*                                    a = &m_servers[pick(m_random)];
@@ -154,32 +159,33 @@
     while (server->running.size() < kSlots && !server->queue.empty()) {
       const std::size_t number = server->queue.front();
       server->queue.pop_front();
-      server->running.emplace_back(m_now + kTurn, number);
+      server->running.emplace_back(m_now + kTurnTime, number);
       const auto     running = static_cast<Duration>(server->running.size());
-      const Duration first =
-          kFirst + (kFirstFull - kFirst) * (running - 1) / (kSlots - 1);
-      if (m_gates_on) m_due.emplace(m_now + first, std::pair(number, true));
+      const Duration first = kFirstEvent + (kFirstEventAtFull - kFirstEvent) *
+                                               (running - 1) / (kSlots - 1);
+      if (m_use_dispatchers)
+        m_events.emplace(m_now + first, std::pair(number, true));
     }
   }
 
   void EndTurn(std::size_t number) {
     Program& program = m_programs[number];
-    if (m_gates_on) GateOf(number).Release(&program.at_gate);
-    if (++program.turns == kTurnsOfProgram) {
-      program.ended = m_now;
+    if (m_use_dispatchers) DispatcherFor(number).Release(&program.dispatch_id);
+    if (++program.turns == kTurnsPerProgram) {
+      program.end_time = m_now;
       return;
     }
-    m_due.emplace(m_now + kTool, std::pair(number, false));
+    m_events.emplace(m_now + kThinkTime, std::pair(number, false));
   }
 
-  void RunDue() {
-    while (!m_due.empty() && m_due.begin()->first <= m_now) {
-      const auto [number, first_event] = m_due.begin()->second;
-      m_due.erase(m_due.begin());
+  void RunEvents() {
+    while (!m_events.empty() && m_events.begin()->first <= m_now) {
+      const auto [number, first_event] = m_events.begin()->second;
+      m_events.erase(m_events.begin());
       if (first_event) {
-        GateOf(number).FirstEvent(m_programs[number].at_gate);
+        DispatcherFor(number).FirstEvent(m_programs[number].dispatch_id);
       } else {
-        NextTurn(number);
+        StartTurn(number);
       }
     }
   }
@@ -187,19 +193,20 @@
   std::mt19937                                      m_random;
   Time                                              m_now = 0;
   net::EventLoop                                    m_loop;
-  bool                                              m_gates_on;
-  std::vector<std::unique_ptr<TurnDispatcher>>      m_gates;
+  bool                                              m_use_dispatchers;
+  std::vector<std::unique_ptr<TurnDispatcher>>      m_dispatchers;
   std::vector<Program>                              m_programs;
   std::array<Server, kServers>                      m_servers;
-  std::multimap<Time, std::pair<std::size_t, bool>> m_due;
+  std::multimap<Time, std::pair<std::size_t, bool>> m_events;
 };
 
-Burst::Outcome Sum(bool gates, double load, double factor) {
-  Burst::Outcome sum;
+BurstSimulation::Outcome RunSeeds(bool with_dispatchers, double load,
+                                  double factor) {
+  BurstSimulation::Outcome sum;
   for (unsigned seed = 1; seed <= kSeeds; ++seed) {
-    Burst      burst(seed, gates);
-    const auto outcome = burst.Run(load * Burst::Capacity(), factor);
-    sum.begun += outcome.begun;
+    BurstSimulation burst(seed, with_dispatchers);
+    const auto outcome = burst.Run(load * BurstSimulation::Capacity(), factor);
+    sum.started += outcome.started;
     sum.in_time += outcome.in_time;
   }
   return sum;
@@ -207,35 +214,34 @@
 
 }  // namespace
 
-// A burst brings twice what the servers carry for four seconds. Served in the
-// order of coming, all turns wait and nearly every program of that time is
-// late. Where turns wait at the nodes, programs in front end in time.
-Test(TurnLimits, BurstOfTwiceWhatIsCarried_ProgramsInFrontEndInTime) {
-  const auto without = Sum(false, 0.7, 2.9);
-  const auto with = Sum(true, 0.7, 2.9);
+// Guards against a burst of twice the capacity delaying every program: with the
+// dispatchers, programs with a low rank still end in time.
+Test(TurnLimits, BurstOfTwiceTheCapacity_LowRankedProgramsEndInTime) {
+  const auto without = RunSeeds(false, 0.7, 2.9);
+  const auto with = RunSeeds(true, 0.7, 2.9);
   cr_assert_geq(with.in_time, 3 * without.in_time, "%d of %d, %d of %d",
-                without.in_time, without.begun, with.in_time, with.begun);
+                without.in_time, without.started, with.in_time, with.started);
 }
 
-// The same burst. The aim: half of what the servers carry, from its beginning
-// to two seconds after its end, ends in time, whatever comes beside it.
+// Guards against low goodput in the same burst: programs worth half of the
+// capacity, until two seconds after its end, must end in time.
 Test(TurnLimits, BurstOfTwiceWhatIsCarried_HalfOfWhatIsCarriedEndsInTime) {
   constexpr double kSeconds = 6;
-  const auto       with = Sum(true, 0.7, 2.9);
-  const double     carried = kSeeds * kSeconds * Burst::Capacity();
+  const auto       with = RunSeeds(true, 0.7, 2.9);
+  const double     carried = kSeeds * kSeconds * BurstSimulation::Capacity();
   cr_assert_geq(2 * with.in_time, carried, "%d of %f", with.in_time, carried);
 }
 
-// Below what the servers carry the gates stop nobody.
-Test(TurnLimits, LoadThatIsCarried_NobodyWaitsLonger) {
-  const auto without = Sum(false, 0.6, 1.0);
-  const auto with = Sum(true, 0.6, 1.0);
+// Guards against dispatchers delaying turns below capacity.
+Test(TurnLimits, LoadBelowCapacity_NoAddedDelay) {
+  const auto without = RunSeeds(false, 0.6, 1.0);
+  const auto with = RunSeeds(true, 0.6, 1.0);
   cr_assert_geq(100 * with.in_time, 99 * without.in_time, "%d, %d",
                 without.in_time, with.in_time);
 }
 
-Test(TurnLimits, FirstEventsGrowSlow_LimitFallsAndGrowsAgain) {
-  ConcurrencyLimit limit(kOn);
+Test(TurnLimits, FirstEventsSlowDown_LimitFallsAndRecovers) {
+  ConcurrencyLimit limit(kEnabled);
   Time             now = 1000;
   const auto       observe = [&](Duration took, int under_way, int rounds) {
     for (int i = 0; i < rounds; ++i) {
@@ -254,7 +260,7 @@
   cr_assert(limit.MayStart(20, now));
 }
 
-Test(TurnLimits, NotSwitchedOn_NobodyIsHeld) {
+Test(TurnLimits, Disabled_NoTurnIsLimited) {
   ConcurrencyLimit limit({});
   for (Time now = 1000; now < 3000; now += 10) {
     limit.Observe(5000, 120, now);
@@ -262,10 +268,10 @@
   }
 }
 
-// The limit never keeps a node from sending at all, or it would not learn that
-// the servers are quick again.
-Test(TurnLimits, ServersSlowForLong_SomeTurnsAreAlwaysSent) {
-  ConcurrencyLimit limit(kOn);
+// Guards against a limit of zero: a node that sends nothing would not notice
+// that the servers have recovered.
+Test(TurnLimits, ServersSlowForLong_SomeTurnsAreStillSent) {
+  ConcurrencyLimit limit(kEnabled);
   Time             now = 1000;
   for (int i = 0; i < 500; ++i) {
     now += 20;
@@ -275,50 +281,52 @@
   cr_assert(limit.MayStart(1, now));
 }
 
-Test(TurnLimits, PlacesOfPrograms_AreTheSameEverywhereAndLateOnesLast) {
-  const double place = traffic::QueueRank("w\nprogram", 0, 500);
-  cr_assert_eq(place, traffic::QueueRank("w\nprogram", 0, 20));
-  cr_assert_geq(place, 0);
-  cr_assert_lt(place, 1);
-  cr_assert_lt(place, traffic::QueueRank("w\nprogram", 1, 500));
+Test(TurnLimits, QueueRank_IsDeterministicAndLateProgramsComeLast) {
+  const double rank = traffic::QueueRank("w\nprogram", 0, 500);
+  cr_assert_eq(rank, traffic::QueueRank("w\nprogram", 0, 20));
+  cr_assert_geq(rank, 0);
+  cr_assert_lt(rank, 1);
+  cr_assert_lt(rank, traffic::QueueRank("w\nprogram", 1, 500));
   cr_assert_gt(traffic::QueueRank("w\nprogram", 0, 0),
                traffic::QueueRank("w\nother", 5, 1));
 }
 
-// Who waits and gives up leaves no trace; who goes makes room for the next.
-Test(TurnGates, TurnsThatWaitLeaveOrGo_InTheirOrder) {
+// Guards against released turns that stay queued, and against capacity that is
+// not passed on when a running turn ends.
+Test(TurnDispatching, WaitingTurnsReleasedOrStarted_InRankOrder) {
   Time                            now = 1000;
   net::EventLoop                  loop([&now] { return now; });
-  TurnDispatcher                  gate(&loop, kOn);
+  TurnDispatcher                  dispatcher(&loop, kEnabled);
   std::vector<TurnDispatcher::Id> sent;
-  // First events after 50 ms, then after 600: the limit sets in.
+  // First events slow down from 50 to 600 ms, which activates the limit.
   for (const int took : {50, 600}) {
     const std::size_t first = sent.size();
     for (int i = 0; i < 8; ++i)
-      sent.push_back(gate.Enqueue("llm", 0, 120, [] {}));
+      sent.push_back(dispatcher.Enqueue("llm", 0, 120, [] {}));
     now += took;
     loop.RunOnce(0);
-    for (std::size_t i = first; i < sent.size(); ++i) gate.FirstEvent(sent[i]);
+    for (std::size_t i = first; i < sent.size(); ++i)
+      dispatcher.FirstEvent(sent[i]);
   }
-  cr_assert_eq(gate.waiting(), 0);
-  std::vector<char>  went;
-  TurnDispatcher::Id b =
-      gate.Enqueue("llm", 0.5, 120, [&went] { went.push_back('b'); });
-  TurnDispatcher::Id c =
-      gate.Enqueue("llm", 0.9, 120, [&went] { went.push_back('c'); });
-  TurnDispatcher::Id a =
-      gate.Enqueue("llm", 0.1, 120, [&went] { went.push_back('a'); });
-  cr_assert(went.empty());
-  cr_assert_eq(gate.waiting(), 3);
-  gate.Release(&b);
-  cr_assert_eq(gate.waiting(), 2);
-  for (TurnDispatcher::Id& id : sent) gate.Release(&id);
+  cr_assert_eq(dispatcher.waiting(), 0);
+  std::vector<char>  start_order;
+  TurnDispatcher::Id b = dispatcher.Enqueue(
+      "llm", 0.5, 120, [&start_order] { start_order.push_back('b'); });
+  TurnDispatcher::Id c = dispatcher.Enqueue(
+      "llm", 0.9, 120, [&start_order] { start_order.push_back('c'); });
+  TurnDispatcher::Id a = dispatcher.Enqueue(
+      "llm", 0.1, 120, [&start_order] { start_order.push_back('a'); });
+  cr_assert(start_order.empty());
+  cr_assert_eq(dispatcher.waiting(), 3);
+  dispatcher.Release(&b);
+  cr_assert_eq(dispatcher.waiting(), 2);
+  for (TurnDispatcher::Id& id : sent) dispatcher.Release(&id);
   loop.RunOnce(0);
-  cr_assert_eq(went.size(), 2);
-  cr_assert_eq(went[0], 'a');
-  cr_assert_eq(went[1], 'c');
-  gate.Release(&a);
-  gate.Release(&c);
+  cr_assert_eq(start_order.size(), 2);
+  cr_assert_eq(start_order[0], 'a');
+  cr_assert_eq(start_order[1], 'c');
+  dispatcher.Release(&a);
+  dispatcher.Release(&c);
 }
 
 }  // namespace yuccawick::tests
