--- a/src/yuccawick/cli/main.cc
+++ b/src/yuccawick/cli/main.cc
@@ -214,6 +214,7 @@
   const yuccawick::backends::LogClient client(
       endpoint.value_or(yuccawick::backends::Endpoint{}), {});
   cli::ClientLog log(client);
-  cli::Operator  op(log, std::to_string(yuccawick::daemon::MintIncarnation()));
+  cli::Operator  op(log,
+                    std::to_string(yuccawick::daemon::GenerateIncarnation()));
   return command->run(op, arguments);
 }
--- a/src/yuccawick/daemon/agent_main.cc
+++ b/src/yuccawick/daemon/agent_main.cc
@@ -202,8 +202,8 @@
 
 int Run() {
   BlockStopSignals();
-  const core::NodeRef            self{FLAGS_vm, MintIncarnation()};
-  JsonLog                        log(self, FLAGS_zone, LeastSeverity());
+  const core::NodeRef            self{FLAGS_vm, GenerateIncarnation()};
+  JsonLog                        log(self, FLAGS_zone, MinSeverity());
   Metrics                        metrics;
   const core::OldestProgramQueue queue;
   const core::CacheAwareRoute    route(kPrefillTokensPerMs, kReluctanceMs,
--- a/src/yuccawick/daemon/caller_json.cc
+++ b/src/yuccawick/daemon/caller_json.cc
@@ -62,7 +62,7 @@
   const std::string deadline = Header(request, "Deadline-Ms");
   if (!deadline.empty() && !ParseWhole(deadline, &headers.deadline))
     return Malformed();
-  if (headers.deadline <= 0 || headers.deadline > settings.longest_deadline)
+  if (headers.deadline <= 0 || headers.deadline > settings.max_deadline)
     return Malformed();
   return headers;
 }
--- a/src/yuccawick/daemon/caller_json.h
+++ b/src/yuccawick/daemon/caller_json.h
@@ -19,8 +19,8 @@
 
 struct CallerApiSettings {
   std::size_t    max_body_bytes = 1 << 20;
-  core::Duration default_deadline = 60000;    // ms
-  core::Duration longest_deadline = 3600000;  // ms
+  core::Duration default_deadline = 60000;  // ms
+  core::Duration max_deadline = 3600000;    // ms
   core::Duration answer_margin = 15000;  // ms past the deadline for an answer
 };
 
--- a/src/yuccawick/daemon/entry_main.cc
+++ b/src/yuccawick/daemon/entry_main.cc
@@ -75,8 +75,8 @@
 
 void Run() {
   BlockStopSignals();
-  const core::NodeRef        self{FLAGS_vm, MintIncarnation()};
-  JsonLog                    log(self, FLAGS_zone, LeastSeverity());
+  const core::NodeRef        self{FLAGS_vm, GenerateIncarnation()};
+  JsonLog                    log(self, FLAGS_zone, MinSeverity());
   Metrics                    metrics;
   EntryDecider               decider(MakeSettings(self));
   std::unique_ptr<CallerApi> api;
--- a/src/yuccawick/daemon/node_flags.cc
+++ b/src/yuccawick/daemon/node_flags.cc
@@ -48,7 +48,7 @@
   return errors;
 }
 
-core::Severity LeastSeverity() {
+core::Severity MinSeverity() {
   for (const auto s : {core::Severity::kDebug, core::Severity::kWarning,
                        core::Severity::kError}) {
     if (core::Name(s) == FLAGS_log_level) return s;
--- a/src/yuccawick/daemon/node_flags.h
+++ b/src/yuccawick/daemon/node_flags.h
@@ -21,7 +21,7 @@
 std::vector<SettingRule>  NodeRules(const std::vector<SettingRule>& own);
 std::vector<SettingError> NodeContradictions();
 
-core::Severity            LeastSeverity();
+core::Severity            MinSeverity();
 core::ControlTailSettings MakeControlSettings();
 core::MembershipSettings  MakeMembershipSettings();
 ShellSettings             MakeShellSettings(const core::NodeRef& self);
--- a/src/yuccawick/daemon/node_shell.cc
+++ b/src/yuccawick/daemon/node_shell.cc
@@ -380,7 +380,7 @@
       .count();
 }
 
-std::uint64_t MintIncarnation() {
+std::uint64_t GenerateIncarnation() {
   constexpr unsigned kRandomBits = 16;
   std::random_device random;
   return (static_cast<std::uint64_t>(WallClock()) << kRandomBits) |
--- a/src/yuccawick/daemon/node_shell.h
+++ b/src/yuccawick/daemon/node_shell.h
@@ -87,6 +87,6 @@
 core::Time WallClock();  // ms since the epoch
 
 // A number for a new incarnation; unique in time and by chance.
-std::uint64_t MintIncarnation();
+std::uint64_t GenerateIncarnation();
 
 }  // namespace yuccawick::daemon
--- a/src/yuccawick/gateway/exchange.cc
+++ b/src/yuccawick/gateway/exchange.cc
@@ -227,7 +227,7 @@
   switch (step) {
     case NextStep::kOtherServer:
     case NextStep::kSameServer:
-      m_parts.metrics->CountRepeat(cause);
+      m_parts.metrics->CountRetry(cause);
       SendAgain(step);
       break;
     case NextStep::kRefuse:
--- a/src/yuccawick/gateway/gateway.cc
+++ b/src/yuccawick/gateway/gateway.cc
@@ -334,7 +334,7 @@
   for (RateCoordinator& desk : m_rate_desks) desk.LogRefusals();
   m_room.WriteUsageLines();
   WriteShares();
-  for (const Metrics::LogUse& use : m_metrics->TakeLogUse()) {
+  for (const Metrics::LogUsage& use : m_metrics->TakeLogUsage()) {
     m_log->Write(LogEvent::kLogUse, {{"topic", Name(use.topic)},
                                      {"call", Name(use.kind)},
                                      {"calls", use.calls},
--- a/src/yuccawick/gateway/metrics.cc
+++ b/src/yuccawick/gateway/metrics.cc
@@ -150,7 +150,7 @@
   m_losses[static_cast<std::size_t>(cause)]->Increment();
 }
 
-void Metrics::CountRepeat(traffic::SendFailureCause cause) {
+void Metrics::CountRetry(traffic::SendFailureCause cause) {
   m_repeats[static_cast<std::size_t>(cause)]->Increment();
 }
 
@@ -170,17 +170,17 @@
   entry.bytes->Increment(static_cast<double>(call.sent + call.received));
 }
 
-std::vector<Metrics::LogUse> Metrics::TakeLogUse() {
+std::vector<Metrics::LogUsage> Metrics::TakeLogUsage() {
   const auto value = [](const prometheus::Counter* counter) {
     return static_cast<std::int64_t>(counter->Value());
   };
-  std::vector<LogUse> uses;
+  std::vector<LogUsage> uses;
   for (LogCalls& entry : m_log_calls) {
-    LogUse now = entry.told;
+    LogUsage now = entry.told;
     now.unanswered = value(entry.failed);
     now.calls = value(entry.succeeded) + now.unanswered;
     now.bytes = value(entry.bytes);
-    const LogUse before = std::exchange(entry.told, now);
+    const LogUsage before = std::exchange(entry.told, now);
     now.calls -= before.calls;
     now.unanswered -= before.unanswered;
     now.bytes -= before.bytes;
--- a/src/yuccawick/gateway/metrics.h
+++ b/src/yuccawick/gateway/metrics.h
@@ -39,7 +39,7 @@
   Metrics();
   void CountRefusal(traffic::Refusal refusal);
   void CountSendFailure(traffic::SendFailureCause cause);
-  void CountRepeat(traffic::SendFailureCause cause);
+  void CountRetry(traffic::SendFailureCause cause);
   void CountAnswer(traffic::RequestKind kind);
   void CountStoreCall(const platform::CallReport& call);  // any thread
   void CountTurnPersisted(bool by_peer);
@@ -49,17 +49,17 @@
   void Set(Gauge gauge, double value);
   void SetMemory(const pressure::MemoryBudget& memory);
   void CountClientDropped();
-  // Calls of one kind on one topic since the last TakeLogUse().
-  struct LogUse {
+  // Calls of one kind on one topic since the last TakeLogUsage().
+  struct LogUsage {
     platform::Topic    topic;
     platform::CallKind kind;
     std::int64_t       calls = 0;
     std::int64_t       unanswered = 0;
     std::int64_t       bytes = 0;  // both ways
   };
-  std::vector<LogUse> TakeLogUse();
+  std::vector<LogUsage> TakeLogUsage();
   // All of them in prometheus' text format.
-  std::string         Text() const;
+  std::string           Text() const;
 
  private:
   void AddLogCalls(prometheus::Registry* registry);
@@ -75,7 +75,7 @@
     prometheus::Counter* succeeded = nullptr;
     prometheus::Counter* failed = nullptr;
     prometheus::Counter* bytes = nullptr;
-    LogUse               told;  // by TakeLogUse()
+    LogUsage             told;  // by TakeLogUsage()
   };
   std::array<LogCalls, platform::kTopicCount * platform::kCallKindCount>
                                                              m_log_calls;
