--- a/src/yuccawick/gateway/appender.h
+++ b/src/yuccawick/gateway/appender.h
@@ -1,12 +1,12 @@
-// Carries records to one partition of the log, one append at a time.
+// Appends records to one partition of the platform's log, one append at a time.
 //
-// Records that come while an append is under way go together with the next one,
-// so the calls grow with the latency of the log and not with the load.
+// Records added during an append are batched into the next one, so the number
+// of calls follows the latency of the log rather than the load.
 //
-// Appends are numbered. One that got no answer is sent again with the same
-// number until it gets one, so its records lie in the log once, and whoever
-// added them hears of it, however late. It is sent again soon: an answer that
-// was lost costs a few round trips, not a whole timeout.
+// Appends are numbered. An append without an answer is retried with the same
+// number, so the log stores its records once and every `done` is called even
+// after a long outage. The first retry comes after a few usual latencies: a
+// lost answer does not cost a whole timeout.
 #pragma once
 
 #include <functional>
@@ -25,31 +25,30 @@
   using Done = std::function<void(const Result&)>;
   using Wanted = std::function<bool()>;
 
-  // `producer` names this writer; no other writer of the partition has it.
+  // `producer` must be unique among the writers of the partition.
   Appender(net::EventLoop* loop, const Thresholds* thresholds,
            platform::RecordLog* store, LogHealth* health, platform::Topic topic,
            int partition, std::string producer);
-  // `done` is called once, with the record's own offset in place of the first
-  // of its append; with a failure only if the log will never take the record.
-  // A record that is not wanted any more when its turn comes is dropped, and
-  // `done` is not called.
+  // Calls `done` once, with the record's own offset, or with a failure if the
+  // log permanently refuses the record. A record whose `wanted` returns false
+  // before it is sent is dropped without a call of `done`.
   void Add(std::string record, Done done, Wanted wanted = {});
-  // An append is under way, or waits to be sent again.
+  // An append is in flight or waits for a retry.
   bool busy() const { return m_busy; }
 
  private:
   struct Item {
     std::string record;
     Done        done;
-    Wanted      wanted;  // none: always
+    Wanted      wanted;  // empty: always wanted
   };
   void          Pump();
   void          DropUnwanted();
   void          TakeBatch();
   void          Send();
-  void          Finish(const Result& result);
-  void          SendAgain(const platform::StoreError& error);
-  void          Refused(const platform::StoreError& error);
+  void          OnResult(const Result& result);
+  void          Retry(const platform::StoreError& error);
+  void          OnRefused(const platform::StoreError& error);
   void          BeginEpoch();
   net::Duration FirstTimeout() const;
 
@@ -59,13 +58,13 @@
   LogHealth*           m_health;
   platform::Topic      m_topic;
   int                  m_partition;
-  platform::AppendId   m_id;  // of the append under way
-  std::vector<Item>    m_waiting;
-  std::vector<Item>    m_flying;
+  platform::AppendId   m_id;  // of the append in flight
+  std::vector<Item>    m_queue;
+  std::vector<Item>    m_in_flight;
   bool                 m_busy = false;
   net::Time            m_sent_at = 0;
-  net::Duration        m_timeout = 0;  // of the present try, in ms
-  net::Duration        m_usual = 0;    // an answer takes, in ms
+  net::Duration        m_timeout = 0;       // of the current attempt, in ms
+  net::Duration        m_mean_latency = 0;  // moving average, in ms
 };
 
 }  // namespace yuccawick::gateway
--- a/src/yuccawick/gateway/follower.cc
+++ b/src/yuccawick/gateway/follower.cc
@@ -18,41 +18,39 @@
 using platform::StoreResult;
 using platform::Topic;
 
-// A change must be in force within 2 s of its acknowledgement. A read waits for
-// the next record for up to a second, so that a connection that went silent is
-// noticed in time; with the pause the whole stays below that bound.
-constexpr Duration kWait = 800;  // ms, for the first record
-// A read tells how matters stood when it was sent, so it may not wait for long
-// where the age of the manifest is bounded: two reads in a row and one that is
-// lost have to fit before clients are sent elsewhere.
+// Short enough that a dead connection is noticed and a change still takes
+// effect within 2 s of its acknowledgement.
+constexpr Duration kMaxReadWait = 800;  // ms that a read waits for a record
+// An answer is as old as its request, so reads must be short where the age of
+// the manifest is bounded: two reads and a lost one must fit.
 constexpr Duration kReadsPerBound = 10;
-constexpr Duration kAnswerTime = 500;  // ms beyond it; a slow answer's time
-// Nodes come and go rarely, and nothing depends on knowing them at once.
+constexpr Duration kResponseMargin = 500;  // ms added to the wait
+// Nodes change rarely, and nothing needs them at once.
 constexpr Duration kNodesWait = 4000;    // ms
 constexpr Duration kNodesPause = 500;    // ms
 constexpr Duration kListTimeout = 1000;  // ms
 constexpr Duration kRetryDelay = 120;    // ms after a failure
 constexpr Duration kManifestPause = 20;  // ms; manifests are rare
-// Servers renew their entries all the time; reading a few renewals at once
-// costs fewer calls, and 300 ms is small against the 2 s in which a leaving
-// server must get no more work.
-constexpr Duration kServersPause = 300;
-constexpr Duration kTick = 100;  // ms; for removals that come due
+// Servers renew their entries continuously; batching the renewals saves calls.
+// Must stay well below the 2 s in which a leaving server stops receiving work.
+constexpr Duration kServersPause = 300;    // ms
+constexpr Duration kExpiryInterval = 100;  // ms; for expired servers
 
-Duration ManifestWait(std::optional<Duration> key_bound) {
-  return std::min(kWait,
-                  key_bound.value_or(kWait * kReadsPerBound) / kReadsPerBound);
+Duration ManifestReadWait(std::optional<Duration> key_bound) {
+  return std::min(
+      kMaxReadWait,
+      key_bound.value_or(kMaxReadWait * kReadsPerBound) / kReadsPerBound);
 }
 
 }  // namespace
 
 TopicFollower::TopicFollower(net::EventLoop* loop, platform::Store* store,
                              Log* log, Topic topic, std::string name,
-                             PollSettings pace, Callbacks callbacks)
+                             PollSettings poll, Callbacks callbacks)
     : m_loop(loop),
       m_store(store),
       m_topic(topic),
-      m_pace(pace),
+      m_poll(poll),
       m_callbacks(std::move(callbacks)),
       m_log(log),
       m_name(std::move(name)) {}
@@ -64,11 +62,11 @@
   List({}, m_loop->now());
 }
 
-void TopicFollower::Again(Duration delay, void (TopicFollower::*step)()) {
+void TopicFollower::Schedule(Duration delay, void (TopicFollower::*step)()) {
   m_loop->After(delay, [this, step] { (this->*step)(); });
 }
 
-void TopicFollower::NoteReachable(bool reachable) {
+void TopicFollower::UpdateReachability(bool reachable) {
   m_callbacks.on_reachable(reachable);
   if (reachable == m_reachable) return;
   m_reachable = reachable;
@@ -79,15 +77,15 @@
 void TopicFollower::List(const std::string& after, Time began) {
   m_store->Newest(m_topic, after, kListTimeout,
                   [this, began](const StoreResult<NewestPage>& result) {
-                    NoteReachable(result.has_value());
+                    UpdateReachability(result.has_value());
                     if (!result) {
-                      Again(kRetryDelay, &TopicFollower::Restart);
+                      Schedule(kRetryDelay, &TopicFollower::Restart);
                       return;
                     }
-                    // Pages are no snapshot: following from the end of the
-                    // first one repeats what changed between them.
+                    // Pages are not a consistent snapshot. Following from the
+                    // end of the first page replays what changed in between.
                     if (std::exchange(m_first_page, false)) {
-                      m_next = result->end;
+                      m_next_offset = result->end;
                       m_callbacks.on_listing_began();
                     }
                     for (const LogRecord& record : result->records) {
@@ -104,35 +102,35 @@
 }
 
 void TopicFollower::Follow() {
-  // After a failure an answer at once shows that the log is back; one that
-  // waits for a record shows it that much later.
-  const Duration wait = m_reachable ? m_pace.wait : 0;
+  // After a failure the read does not wait for a record, so that recovery is
+  // noticed at once.
+  const Duration wait = m_reachable ? m_poll.wait : 0;
   m_store->Read(
       m_topic, 0,
-      {m_next, platform::kPageBytes, wait, platform::CallKind::kFollow},
-      wait + kAnswerTime,
+      {m_next_offset, platform::kPageBytes, wait, platform::CallKind::kFollow},
+      wait + kResponseMargin,
       [this, began = m_loop->now()](const StoreResult<ReadPage>& result) {
         if (!result && result.error().failure == StoreFailure::kExpired) {
           Restart();
           return;
         }
-        NoteReachable(result.has_value());
+        UpdateReachability(result.has_value());
         if (!result) {
-          Again(kRetryDelay, &TopicFollower::Follow);
+          Schedule(kRetryDelay, &TopicFollower::Follow);
           return;
         }
         for (const LogRecord& record : result->records) {
           m_callbacks.on_record(record);
         }
-        m_next = result->next;
-        if (result->end < m_next) {
-          // The log is shorter than what was read of it: read it whole again.
+        m_next_offset = result->next;
+        if (result->end < m_next_offset) {
+          // The log was truncated: list the topic again.
           Restart();
           return;
         }
-        if (result->end == m_next) m_callbacks.on_current(began);
-        Again(result->records.empty() ? 0 : m_pace.pause,
-              &TopicFollower::Follow);
+        if (result->end == m_next_offset) m_callbacks.on_current(began);
+        Schedule(result->records.empty() ? 0 : m_poll.pause,
+                 &TopicFollower::Follow);
       });
 }
 
@@ -141,15 +139,15 @@
     : m_loop(loop),
       m_log(log),
       m_outputs(std::move(outputs)),
-      m_operator(
+      m_manifest_topic(
           loop, store, log, Topic::kOperator, "manifest",
-          {ManifestWait(key_bound), kManifestPause},
-          {[this](const LogRecord& record) { TakeManifest(record); }, [] {},
-           [] {}, [this](bool reachable) { NoteLogReachable(reachable); },
+          {ManifestReadWait(key_bound), kManifestPause},
+          {[this](const LogRecord& record) { HandleManifest(record); }, [] {},
+           [] {}, [this](bool reachable) { UpdateLogReachability(reachable); },
            [this](Time as_of) { m_outputs.manifest_current(as_of); }}),
       m_servers(loop, store, log, Topic::kServers, "servers",
-                {kWait, kServersPause},
-                {[this](const LogRecord& record) { TakeServer(record); },
+                {kMaxReadWait, kServersPause},
+                {[this](const LogRecord& record) { HandleServer(record); },
                  [this] {
                    m_listing_servers = true;
                    m_entry_hashes.clear();
@@ -162,17 +160,17 @@
                  [](Time) {}}),
       m_nodes(loop, store, log, Topic::kNodes, "nodes",
               {kNodesWait, kNodesPause},
-              {[this](const LogRecord& record) { TakeNode(record); }, [] {},
+              {[this](const LogRecord& record) { HandleNode(record); }, [] {},
                [] {}, [](bool) {}, [](Time) {}}) {}
 
-void Follower::NoteLogReachable(bool reachable) {
+void Follower::UpdateLogReachability(bool reachable) {
   if (std::exchange(m_log_reachable, reachable) != reachable) {
     m_outputs.log_reachable(reachable);
   }
 }
 
 void Follower::Start() {
-  m_operator.Start();
+  m_manifest_topic.Start();
   m_servers.Start();
   m_nodes.Start();
   Tick();
@@ -182,12 +180,12 @@
   m_directory.Expire(m_loop->now());
   PublishServers();
   m_log->Flush();
-  m_loop->After(kTick, [this] { Tick(); });
+  m_loop->After(kExpiryInterval, [this] { Tick(); });
 }
 
-void Follower::TakeManifest(const LogRecord& record) {
+void Follower::HandleManifest(const LogRecord& record) {
   if (!platform::IsManifest(record) || record.removed) return;
-  // A listing brings the manifest in force again, which may be large.
+  // A listing repeats the current manifest, which may be large.
   const auto hash = XXH3_64bits(record.value.data(), record.value.size());
   if (std::exchange(m_manifest_hash, hash) == hash) return;
   const auto manifest = platform::DecodeManifest(record.value);
@@ -196,8 +194,8 @@
                                     {"detail", manifest.error().detail}});
     return;
   }
-  // A late or repeated record must not bring back an older version: clients
-  // have seen the effects of the newer one.
+  // A late or repeated record must not revert the manifest to an older version
+  // whose replacement clients have already seen.
   if ((*manifest)->version <= m_version) return;
   m_version = (*manifest)->version;
   m_log->Write(LogEvent::kManifest, {{"version", m_version},
@@ -206,7 +204,7 @@
   m_outputs.manifest(*manifest);
 }
 
-void Follower::TakeNode(const LogRecord& record) {
+void Follower::HandleNode(const LogRecord& record) {
   if (record.removed) {
     m_outputs.node(record.key, std::nullopt);
     return;
@@ -223,8 +221,8 @@
   m_outputs.node(record.key, node);
 }
 
-// Servers renew their entries all the time. One that is the same but for that
-// says nothing new, and is not decoded: 0.3 us in place of 5.6, in a loop.
+// True if only the renewal time of the entry changed. Such entries are frequent
+// and are not decoded.
 bool Follower::IsRenewal(const LogRecord& record) {
   const std::string text = platform::WithoutRenewal(record.value);
   const auto        hash = XXH3_64bits(text.data(), text.size());
@@ -232,7 +230,7 @@
   return !added && std::exchange(entry->second, hash) == hash;
 }
 
-void Follower::TakeServer(const LogRecord& record) {
+void Follower::HandleServer(const LogRecord& record) {
   if (record.removed) {
     m_log->Write(LogEvent::kServers, {{"server", record.key},
                                       {"state", "removed"},
--- a/src/yuccawick/gateway/follower.h
+++ b/src/yuccawick/gateway/follower.h
@@ -1,9 +1,9 @@
-// Follows what the operator and the backend servers publish, on the control
-// thread: the manifest and the list of servers.
+// Follows the manifest, the list of backend servers and the list of nodes in
+// the platform's log; runs on the control thread.
 //
-// Each topic is read whole once, then its log is followed from there. A topic
-// whose records are gone is read whole again. The manifest never goes back to
-// an older version while the process lives.
+// Each topic is listed once, then followed from that offset. A topic whose
+// records have expired is listed again. The manifest never reverts to an older
+// version during the life of the process.
 #pragma once
 
 #include <cstdint>
@@ -24,8 +24,8 @@
 using net::Duration;
 using net::Time;
 
-// Follows one keyed topic. `on_record` sees every record in order, `on_listing`
-// the end of each whole reading with the keys it saw.
+// Follows one keyed topic. `on_record` receives every record in order; listings
+// are bracketed by `on_listing_began` and `on_listing_ended`.
 class TopicFollower {
  public:
   struct Callbacks {
@@ -33,63 +33,63 @@
     std::function<void()>                           on_listing_began;
     std::function<void()>                           on_listing_ended;
     std::function<void(bool)>                       on_reachable;
-    // All that was written before this moment has been told.
+    // Every record written before this time has been delivered.
     std::function<void(Time)>                       on_current;
   };
-  // `wait`: ms a read waits for the first record. `pause`: ms between two
-  // readings that brought something.
+  // `wait`: longest time that a read waits for a record, in ms. `pause`: delay
+  // after a read that returned records, in ms.
   struct PollSettings {
     Duration wait = 0;
     Duration pause = 0;
   };
-  // `name` says in logs what the topic holds.
+  // `name` identifies the topic in log lines.
   TopicFollower(net::EventLoop* loop, platform::Store* store, Log* log,
-                platform::Topic topic, std::string name, PollSettings pace,
+                platform::Topic topic, std::string name, PollSettings poll,
                 Callbacks callbacks);
   void Start();
 
  private:
   void List(const std::string& after, Time began);
   void Follow();
-  void Again(Duration delay, void (TopicFollower::*step)());
+  void Schedule(Duration delay, void (TopicFollower::*step)());
   void Restart();
-  void NoteReachable(bool reachable);
+  void UpdateReachability(bool reachable);
 
   net::EventLoop*  m_loop;
   platform::Store* m_store;
   platform::Topic  m_topic;
-  PollSettings     m_pace;
+  PollSettings     m_poll;
   Callbacks        m_callbacks;
   Log*             m_log;
   std::string      m_name;
   bool             m_reachable = true;
-  std::int64_t     m_next = 0;
+  std::int64_t     m_next_offset = 0;
   bool             m_first_page = true;
 };
 
-// Publishes manifests and server lists to whoever serves traffic.
+// Decodes the followed topics and passes changes to the traffic thread.
 class Follower {
  public:
   struct Outputs {
     std::function<void(traffic::ManifestPtr)>   manifest;
     std::function<void(traffic::ServerListPtr)> servers;
-    // A node announced itself, or, without a value, left.
+    // A node joined or, without a value, left.
     std::function<void(std::string, std::optional<programs::NodeInfo>)> node;
-    // Whether the log answers; told when that changes.
+    // Called when the log becomes reachable or unreachable.
     std::function<void(bool)> log_reachable;
-    // All manifests that were written before this moment have been told.
+    // Every manifest written before this time has been delivered.
     std::function<void(Time)> manifest_current;
   };
-  // `key_bound`: how old the manifest may be, in ms; nothing: any age.
+  // `key_bound`: largest age of the manifest, in ms; none: any age.
   Follower(net::EventLoop* loop, platform::Store* store, Log* log,
            Outputs outputs, std::optional<Duration> key_bound = std::nullopt);
   void Start();
 
  private:
-  void NoteLogReachable(bool reachable);
-  void TakeManifest(const platform::LogRecord& record);
-  void TakeNode(const platform::LogRecord& record);
-  void TakeServer(const platform::LogRecord& record);
+  void UpdateLogReachability(bool reachable);
+  void HandleManifest(const platform::LogRecord& record);
+  void HandleNode(const platform::LogRecord& record);
+  void HandleServer(const platform::LogRecord& record);
   bool IsRenewal(const platform::LogRecord& record);
   void EndServerListing();
   void PublishServers();
@@ -100,14 +100,14 @@
   Outputs                                        m_outputs;
   traffic::Directory                             m_directory;
   traffic::ServerList                            m_listing;
-  // By entry: a hash of what was read there last, but for its renewal.
+  // Hash of each server's last entry without its renewal time, by key.
   std::unordered_map<std::string, std::uint64_t> m_entry_hashes;
   bool                                           m_listing_servers = false;
   bool                                           m_servers_known = false;
   std::int64_t  m_version = -1;       // of the manifest in force
-  std::uint64_t m_manifest_hash = 0;  // of the last record of one
+  std::uint64_t m_manifest_hash = 0;  // of the last manifest record
   bool          m_log_reachable = true;
-  TopicFollower m_operator;
+  TopicFollower m_manifest_topic;
   TopicFollower m_servers;
   TopicFollower m_nodes;
 };
--- a/src/yuccawick/gateway/log.cc
+++ b/src/yuccawick/gateway/log.cc
@@ -17,12 +17,11 @@
 namespace yuccawick::gateway {
 namespace {
 
-// Bytes that may wait for standard output; a reader that stops costs no more.
-constexpr std::size_t kMaxWaiting = 256UL * 1024;
-// Lines a second of one process; a node at its share of the target load writes
-// about 60 requests a second with 3 lines each.
+// Bytes buffered for standard output; bounds memory when its reader stalls.
+constexpr std::size_t kMaxBufferBytes = 256UL * 1024;
+// Limit per process; further lines of that second are dropped.
 constexpr std::size_t kMaxLinesPerSecond = 600;
-constexpr net::Time   kSecond = 1000;
+constexpr net::Time   kSecond = 1000;  // ms
 
 std::string Format(std::string_view node, std::string_view zone, LogEvent event,
                    std::initializer_list<LogField> fields) {
@@ -52,7 +51,7 @@
   return kNames[static_cast<std::size_t>(event)];
 }
 
-// Boost.Log backend that keeps a bounded buffer before a non-blocking output.
+// Boost.Log backend with a bounded buffer in front of non-blocking output.
 class Log::Sink final : public boost::log::sinks::basic_formatted_sink_backend<
                             char, boost::log::sinks::concurrent_feeding> {
  public:
@@ -74,16 +73,17 @@
       m_lines = 0;
     }
     if (++m_lines > kMaxLinesPerSecond ||
-        m_waiting.size() + line.size() > kMaxWaiting) {
+        m_buffer.size() + line.size() > kMaxBufferBytes) {
       ++m_dropped;
       return;
     }
-    m_waiting += line;
+    m_buffer += line;
   }
 
   std::size_t TakeDropped() {
     const std::scoped_lock lock(m_lock);
-    if (m_lines >= kMaxLinesPerSecond || m_waiting.size() > kMaxWaiting / 2) {
+    if (m_lines >= kMaxLinesPerSecond ||
+        m_buffer.size() > kMaxBufferBytes / 2) {
       return 0;
     }
     return std::exchange(m_dropped, 0);
@@ -91,17 +91,17 @@
 
   void Flush() {
     const std::scoped_lock lock(m_lock);
-    while (!m_waiting.empty()) {
+    while (!m_buffer.empty()) {
       const auto written =
-          write(STDOUT_FILENO, m_waiting.data(), m_waiting.size());
+          write(STDOUT_FILENO, m_buffer.data(), m_buffer.size());
       if (written <= 0) return;
-      m_waiting.erase(0, static_cast<std::size_t>(written));
+      m_buffer.erase(0, static_cast<std::size_t>(written));
     }
   }
 
  private:
   std::mutex  m_lock;
-  std::string m_waiting;
+  std::string m_buffer;
   std::size_t m_dropped = 0;
   std::size_t m_lines = 0;
   net::Time   m_second = 0;
--- a/src/yuccawick/gateway/log.h
+++ b/src/yuccawick/gateway/log.h
@@ -1,13 +1,13 @@
-// Structured logs on standard output: one JSON object a line.
+// Structured log on standard output: one JSON object per line.
 //
-// Build a line with its fields, then Write() it:
+// Write() formats a line from its fields:
 //
 //   log.Write(LogEvent::kRefused, {{"request", id}, {"reason", "overloaded"}});
 //
-// Writing never blocks. Lines wait in a bounded buffer until standard output
-// takes them; above the bound, or above the rate a second, lines are dropped
-// and counted, and a line says how many as soon as there is room. Boost.Log
-// carries the lines, so an embedder may add sinks of its own.
+// Write() never blocks. Lines wait in a bounded buffer until Flush() writes
+// them; lines above the buffer size or the rate limit are dropped, and a
+// kDropped line reports how many. The lines pass through Boost.Log, so an
+// embedding program can add sinks of its own.
 #pragma once
 
 #include <cstdint>
@@ -25,30 +25,30 @@
   kStarted,
   kStopping,
   kStopped,
-  kSettings,  // settings file read again
-  kManifest,  // a manifest came into force here
+  kSettings,  // settings file reloaded
+  kManifest,  // a manifest took effect on this node
   kServers,   // the list of backend servers changed
-  kLogLost,   // the platform's log stopped answering
-  kLogBack,
+  kLogLost,   // a partition of the platform's log became unavailable
+  kLogBack,   // the partition answers again
   kLogUse,    // calls to the platform's log since the last such line
-  kAccepted,  // a request was read and its route found
-  kSent,      // to a backend server, with what decided for it
-  kLoss,      // a send came to nothing, with what follows
-  kAnswered,  // the client has its whole answer
-  kRefused,   // answered without an answer of a server
-  kCutOff,    // the answer was broken off
+  kAccepted,  // a request was read and matched a route
+  kSent,      // sent to a backend server, with the reasons for the choice
+  kLoss,      // a send failed, with the next step
+  kAnswered,  // the client received its whole answer
+  kRefused,   // answered by the gateway itself, with an error
+  kCutOff,    // the answer was aborted
   kClientLeft,
-  kWaiting,   // the log is away: the turn waits before it is sent
+  kWaiting,   // the turn waits for the platform's log before it is sent
   kClaim,     // tokens of a program were claimed
   kScan,      // the log was searched for turns
-  kLimit,     // a workspace that its home turned requests away of
-  kRoom,      // room of a service's model servers changed, or was refused
-  kShare,     // a workspace that uses more than others leaves room to them
-  kPace,      // a backend server turned slow, or fast again
-  kPressure,  // memory held for others came near its bound, or left it
-  kPeer,      // a peer came or went
-  kDropped,   // log lines were dropped
-  kFault,     // something that should not happen
+  kLimit,     // requests refused by a workspace's rate limit
+  kRoom,      // capacity of a service's model servers changed or ran out
+  kShare,     // admission threshold of a workspace with high usage
+  kPace,      // a backend server became slow or recovered
+  kPressure,  // memory use approached its limit or fell below it again
+  kPeer,      // a peer joined or left
+  kDropped,   // lines of this log were dropped
+  kFault,     // internal error
 };
 std::string_view Name(LogEvent event);
 
@@ -78,11 +78,12 @@
   Log(const Log&) = delete;
   Log& operator=(const Log&) = delete;
 
-  // From any thread.
+  // Thread-safe.
   void        Write(LogEvent event, std::initializer_list<LogField> fields);
-  // Whether lines are written at all, for the whole process.
+  // Turns logging on or off for the whole process.
   static void SetEnabled(bool enabled);
-  // Hands waiting lines to standard output; call once a turn of the loop.
+  // Writes buffered lines to standard output without blocking; call once per
+  // iteration of the event loop.
   void        Flush();
 
  private:
--- a/src/yuccawick/gateway/metrics.cc
+++ b/src/yuccawick/gateway/metrics.cc
@@ -9,7 +9,7 @@
 
 using Labels = std::array<std::string_view, 4>;
 
-// Bounds in seconds: from a hop inside a zone to the longest route timeout.
+// Bucket bounds, in seconds.
 const prometheus::Histogram::BucketBoundaries kSeconds{
     0.002, 0.005, 0.01, 0.025, 0.05, 0.1, 0.25, 0.5, 1, 2.5, 5, 10};
 
@@ -38,14 +38,14 @@
     const std::string name(Name(static_cast<traffic::Refusal>(i)));
     m_refusals[i] = &refusals.Add({{"reason", name}});
   }
-  auto& losses = CounterFamily(registry, "yuccawick_losses_total",
-                               "Sends that came to nothing, by cause");
-  auto& repeats = CounterFamily(registry, "yuccawick_retries_total",
+  auto& send_failures = CounterFamily(registry, "yuccawick_losses_total",
+                                      "Sends that came to nothing, by cause");
+  auto& retries = CounterFamily(registry, "yuccawick_retries_total",
                                 "Requests sent again, by cause");
-  for (std::size_t i = 0; i < m_losses.size(); ++i) {
+  for (std::size_t i = 0; i < m_send_failures.size(); ++i) {
     const std::string name(Name(static_cast<traffic::SendFailureCause>(i)));
-    m_losses[i] = &losses.Add({{"cause", name}});
-    m_repeats[i] = &repeats.Add({{"cause", name}});
+    m_send_failures[i] = &send_failures.Add({{"cause", name}});
+    m_retries[i] = &retries.Add({{"cause", name}});
   }
   auto& answers = CounterFamily(registry, "yuccawick_answers_total",
                                 "Servers' answers passed on whole, by kind");
@@ -55,10 +55,11 @@
   }
   AddLogCalls(registry);
   AddMemory(registry);
-  auto& kept = CounterFamily(registry, "yuccawick_turns_kept_total",
-                             "Turns that the log has, by who appended them");
-  m_turns_kept = {&kept.Add({{"by", "this_node"}}),
-                  &kept.Add({{"by", "another_node"}})};
+  auto& persisted =
+      CounterFamily(registry, "yuccawick_turns_kept_total",
+                    "Turns that the log has, by who appended them");
+  m_turns_persisted = {&persisted.Add({{"by", "this_node"}}),
+                       &persisted.Add({{"by", "another_node"}})};
   constexpr std::array<const char*, kGaugeCount> kGauges{
       "requests", "connections",   "turns",          "servers",
       "programs", "program_turns", "program_tokens", "slow_servers"};
@@ -75,7 +76,7 @@
   m_first_event_seconds =
       AddHistogram(registry, "yuccawick_first_event_seconds",
                    "From a whole request to the first event of its stream");
-  m_turn_kept_seconds =
+  m_turn_persist_seconds =
       AddHistogram(registry, "yuccawick_turn_kept_seconds",
                    "From the end of a stream to its turn being durable");
 }
@@ -89,12 +90,12 @@
                     "Bytes sent to and received from the platform's log");
   for (std::size_t i = 0; i < m_log_calls.size(); ++i) {
     LogCalls& entry = m_log_calls[i];
-    entry.told.topic =
+    entry.reported.topic =
         static_cast<platform::Topic>(i / platform::kCallKindCount);
-    entry.told.kind =
+    entry.reported.kind =
         static_cast<platform::CallKind>(i % platform::kCallKindCount);
-    const std::string topic(Name(entry.told.topic));
-    const std::string kind(Name(entry.told.kind));
+    const std::string topic(Name(entry.reported.topic));
+    const std::string kind(Name(entry.reported.kind));
     const auto        with = [&](const char* outcome) {
       return &calls.Add(
                  {{"topic", topic}, {"call", kind}, {"outcome", outcome}});
@@ -106,15 +107,15 @@
 }
 
 void Metrics::AddMemory(prometheus::Registry* registry) {
-  auto& held = prometheus::BuildGauge()
-                   .Name("yuccawick_held_bytes")
-                   .Help("Memory held for others, by kind")
-                   .Register(*registry);
-  for (std::size_t i = 0; i < m_held_bytes.size(); ++i) {
+  auto& memory_bytes = prometheus::BuildGauge()
+                           .Name("yuccawick_held_bytes")
+                           .Help("Memory held for others, by kind")
+                           .Register(*registry);
+  for (std::size_t i = 0; i < m_memory_bytes.size(); ++i) {
     const std::string kind(Name(static_cast<pressure::MemoryKind>(i)));
-    m_held_bytes[i] = &held.Add({{"kind", kind}});
+    m_memory_bytes[i] = &memory_bytes.Add({{"kind", kind}});
   }
-  m_memory_bound = &prometheus::BuildGauge()
+  m_memory_limit = &prometheus::BuildGauge()
                         .Name("yuccawick_held_bytes_bound")
                         .Help("Most that is held for others; 0: no bound")
                         .Register(*registry)
@@ -124,34 +125,34 @@
                         .Help("0: calm, 1: near the bound, 2: full")
                         .Register(*registry)
                         .Add({});
-  m_readers_let_go =
+  m_clients_dropped =
       &CounterFamily(registry, "yuccawick_readers_let_go_total",
                      "Clients cut off that did not take their answers")
            .Add({});
 }
 
 void Metrics::SetMemory(const pressure::MemoryBudget& memory) {
-  for (std::size_t i = 0; i < m_held_bytes.size(); ++i) {
+  for (std::size_t i = 0; i < m_memory_bytes.size(); ++i) {
     const auto kind = static_cast<pressure::MemoryKind>(i);
-    m_held_bytes[i]->Set(static_cast<double>(memory.used(kind)));
+    m_memory_bytes[i]->Set(static_cast<double>(memory.used(kind)));
   }
-  m_memory_bound->Set(memory.bounded() ? static_cast<double>(memory.bound())
+  m_memory_limit->Set(memory.bounded() ? static_cast<double>(memory.bound())
                                        : 0.0);
   m_memory_level->Set(static_cast<double>(memory.level()));
 }
 
-void Metrics::CountClientDropped() { m_readers_let_go->Increment(); }
+void Metrics::CountClientDropped() { m_clients_dropped->Increment(); }
 
 void Metrics::CountRefusal(traffic::Refusal refusal) {
   m_refusals[static_cast<std::size_t>(refusal)]->Increment();
 }
 
 void Metrics::CountSendFailure(traffic::SendFailureCause cause) {
-  m_losses[static_cast<std::size_t>(cause)]->Increment();
+  m_send_failures[static_cast<std::size_t>(cause)]->Increment();
 }
 
 void Metrics::CountRetry(traffic::SendFailureCause cause) {
-  m_repeats[static_cast<std::size_t>(cause)]->Increment();
+  m_retries[static_cast<std::size_t>(cause)]->Increment();
 }
 
 void Metrics::CountAnswer(traffic::RequestKind kind) {
@@ -159,7 +160,7 @@
 }
 
 void Metrics::CountTurnPersisted(bool by_peer) {
-  m_turns_kept[by_peer ? 1 : 0]->Increment();
+  m_turns_persisted[by_peer ? 1 : 0]->Increment();
 }
 
 void Metrics::CountStoreCall(const platform::CallReport& call) {
@@ -174,19 +175,19 @@
   const auto value = [](const prometheus::Counter* counter) {
     return static_cast<std::int64_t>(counter->Value());
   };
-  std::vector<LogUsage> uses;
+  std::vector<LogUsage> usage;
   for (LogCalls& entry : m_log_calls) {
-    LogUsage now = entry.told;
+    LogUsage now = entry.reported;
     now.unanswered = value(entry.failed);
     now.calls = value(entry.succeeded) + now.unanswered;
     now.bytes = value(entry.bytes);
-    const LogUsage before = std::exchange(entry.told, now);
+    const LogUsage before = std::exchange(entry.reported, now);
     now.calls -= before.calls;
     now.unanswered -= before.unanswered;
     now.bytes -= before.bytes;
-    if (now.calls > 0) uses.push_back(now);
+    if (now.calls > 0) usage.push_back(now);
   }
-  return uses;
+  return usage;
 }
 
 void Metrics::ObserveAnswer(double seconds) {
@@ -198,7 +199,7 @@
 }
 
 void Metrics::ObserveTurnPersisted(double seconds) {
-  m_turn_kept_seconds->Observe(seconds);
+  m_turn_persist_seconds->Observe(seconds);
 }
 
 void Metrics::Set(Gauge gauge, double value) {
--- a/src/yuccawick/gateway/metrics.h
+++ b/src/yuccawick/gateway/metrics.h
@@ -1,8 +1,8 @@
-// Counters and histograms of the gateway, for prometheus.
+// Prometheus counters, gauges and histograms of the gateway.
 //
-// Every refusal, retry and loss has a counter by its reason, present from the
-// start so that an alert never meets a missing series. Observations are made on
-// the traffic thread, reads from any.
+// Every refusal, retry and send failure has a counter per reason, registered at
+// startup so that alerts never meet a missing series. Values are recorded on
+// the traffic thread unless noted and can be read from any thread.
 #pragma once
 
 #include <prometheus/counter.h>
@@ -27,9 +27,9 @@
   kConnections,
   kTurns,
   kServers,
-  kPrograms,       // under way, of those whose tokens are counted here
-  kProgramTurns,   // at model servers, of these programs
-  kProgramTokens,  // of the servers' memory, held by them
+  kPrograms,       // active, with tokens counted on this node
+  kProgramTurns,   // turns of these programs at model servers
+  kProgramTokens,  // server memory used by these programs, in tokens
   kSlowServers,
 };
 constexpr std::size_t kGaugeCount = 8;
@@ -41,7 +41,7 @@
   void CountSendFailure(traffic::SendFailureCause cause);
   void CountRetry(traffic::SendFailureCause cause);
   void CountAnswer(traffic::RequestKind kind);
-  void CountStoreCall(const platform::CallReport& call);  // any thread
+  void CountStoreCall(const platform::CallReport& call);  // thread-safe
   void CountTurnPersisted(bool by_peer);
   void ObserveAnswer(double seconds);
   void ObserveFirstEvent(double seconds);
@@ -49,16 +49,16 @@
   void Set(Gauge gauge, double value);
   void SetMemory(const pressure::MemoryBudget& memory);
   void CountClientDropped();
-  // Calls of one kind on one topic since the last TakeLogUsage().
+  // Calls of one kind on one topic since the previous TakeLogUse().
   struct LogUsage {
     platform::Topic    topic;
     platform::CallKind kind;
     std::int64_t       calls = 0;
     std::int64_t       unanswered = 0;
-    std::int64_t       bytes = 0;  // both ways
+    std::int64_t       bytes = 0;  // sent and received
   };
   std::vector<LogUsage> TakeLogUsage();
-  // All of them in prometheus' text format.
+  // All metrics in the Prometheus text format.
   std::string           Text() const;
 
  private:
@@ -67,26 +67,26 @@
 
   std::shared_ptr<prometheus::Registry>                    m_registry;
   std::array<prometheus::Counter*, traffic::kRefusalCount> m_refusals{};
-  std::array<prometheus::Counter*, 4>                      m_losses{};
-  std::array<prometheus::Counter*, 4>                      m_repeats{};
+  std::array<prometheus::Counter*, 4>                      m_send_failures{};
+  std::array<prometheus::Counter*, 4>                      m_retries{};
   std::array<prometheus::Counter*, 3>                      m_answers{};
-  std::array<prometheus::Counter*, 2>                      m_turns_kept{};
+  std::array<prometheus::Counter*, 2>                      m_turns_persisted{};
   struct LogCalls {
     prometheus::Counter* succeeded = nullptr;
     prometheus::Counter* failed = nullptr;
     prometheus::Counter* bytes = nullptr;
-    LogUsage             told;  // by TakeLogUsage()
+    LogUsage             reported;  // totals at the last TakeLogUse()
   };
   std::array<LogCalls, platform::kTopicCount * platform::kCallKindCount>
                                                              m_log_calls;
   std::array<prometheus::Gauge*, kGaugeCount>                m_gauges{};
-  std::array<prometheus::Gauge*, pressure::kMemoryKindCount> m_held_bytes{};
-  prometheus::Gauge*     m_memory_bound = nullptr;
+  std::array<prometheus::Gauge*, pressure::kMemoryKindCount> m_memory_bytes{};
+  prometheus::Gauge*     m_memory_limit = nullptr;
   prometheus::Gauge*     m_memory_level = nullptr;
-  prometheus::Counter*   m_readers_let_go = nullptr;
+  prometheus::Counter*   m_clients_dropped = nullptr;
   prometheus::Histogram* m_answer_seconds = nullptr;
   prometheus::Histogram* m_first_event_seconds = nullptr;
-  prometheus::Histogram* m_turn_kept_seconds = nullptr;
+  prometheus::Histogram* m_turn_persist_seconds = nullptr;
 };
 
 }  // namespace yuccawick::gateway
--- a/src/yuccawick/gateway/small_server.cc
+++ b/src/yuccawick/gateway/small_server.cc
@@ -10,9 +10,10 @@
 namespace yuccawick::gateway {
 namespace {
 
-constexpr net::HttpLimits kLimits{8UL * 1024, 0};  // questions have no body
-constexpr int             kSilence = 5000;         // ms
-constexpr net::Duration   kMaxIdle = 30'000;       // ms
+constexpr net::HttpLimits kLimits{8UL * 1024, 0};  // header bytes, body bytes
+constexpr int             kUnackedTimeout =
+    5000;  // ms that sent bytes may stay unacknowledged
+constexpr net::Duration kMaxIdle = 30'000;  // ms
 
 }  // namespace
 
@@ -61,7 +62,7 @@
     m_stream.Close();
     auto node = m_server->m_connections.extract(this);
     if (node.empty()) return;
-    // Destroyed later: this connection is on the call stack.
+    // Deferred destruction: this connection is still on the call stack.
     const std::shared_ptr<Connection> dying = std::move(node.mapped());
     m_server->m_loop->Defer([dying] {});
   }
@@ -90,8 +91,8 @@
 }
 
 void SmallServer::OnReadable() {
-  for (int fd = net::Accept(m_listener, kSilence); fd >= 0;
-       fd = net::Accept(m_listener, kSilence)) {
+  for (int fd = net::Accept(m_listener, kUnackedTimeout); fd >= 0;
+       fd = net::Accept(m_listener, kUnackedTimeout)) {
     auto        connection = std::make_unique<Connection>(this, fd);
     Connection* raw = connection.get();
     m_connections.emplace(raw, std::move(connection));
--- a/src/yuccawick/gateway/small_server.h
+++ b/src/yuccawick/gateway/small_server.h
@@ -1,4 +1,5 @@
-// A tiny HTTP server for questions about the node: readiness and metrics.
+// Minimal HTTP server for readiness checks and metrics. Answers
+// requests without a body through one callback on the event loop.
 #pragma once
 
 #include <functional>
@@ -24,7 +25,8 @@
   SmallServer(net::EventLoop* loop, Answer answer);
   ~SmallServer() override;
 
-  bool Listen(const net::Endpoint& at);  // false: the address is not to be had
+  // Returns false if the address cannot be bound.
+  bool Listen(const net::Endpoint& at);
 
   void OnReadable() override;
   void OnWritable() override {}
--- a/src/yuccawick/gateway/thresholds.cc
+++ b/src/yuccawick/gateway/thresholds.cc
@@ -37,8 +37,8 @@
 using P = capacity::SlowdownSettings;
 using M = pressure::MemoryBudgetSettings;
 
-// Bounds keep a slip of the keyboard from stopping a node; within them every
-// value serves, well or badly.
+// Valid range of each threshold; rejects typing errors that would disable a
+// node.
 constexpr std::array kEntries{
     Entry{"connect_timeout", &T::connect_timeout, 10, 60'000},
     Entry{"server_silence", &T::server_silence, 50, 60'000},
@@ -140,7 +140,7 @@
     Entry{"last_requests", &T::last_requests, 0, 60'000},
 };
 
-// What two thresholds must keep between them, and why.
+// Requires `small` < `large`; `why` is the error message.
 struct Order {
   std::string_view name;
   Duration Thresholds::*small;
@@ -148,76 +148,80 @@
   std::string_view      why;
 };
 constexpr std::array kOrders{
-    Order{"outage_memory", &T::outage_pause, &T::outage_memory,
-          "must exceed outage_pause, or an outage is forgotten between two "
-          "messages"},
-    Order{"load_memory", &T::news_anyway, &T::load_memory,
-          "must exceed news_anyway, or loads are forgotten between two "
-          "messages"},
-    Order{"reserve_timeout", &T::home_answer, &T::reserve_timeout,
-          "must exceed home_answer, or a home that holds a request looks dead"},
     Order{
-        "rate_timeout", &T::rate_answer, &T::rate_timeout,
-        "must exceed rate_answer, or a home that waits for the log looks dead"},
+        "outage_memory", &T::outage_pause, &T::outage_memory,
+        "must exceed outage_pause, or an outage report expires before the next "
+        "one"},
+    Order{
+        "load_memory", &T::news_anyway, &T::load_memory,
+        "must exceed news_anyway, or load reports expire before the next one"},
+    Order{"reserve_timeout", &T::home_answer, &T::reserve_timeout,
+          "must exceed home_answer, or a coordinator that holds a request "
+          "seems unreachable"},
+    Order{"rate_timeout", &T::rate_answer, &T::rate_timeout,
+          "must exceed rate_answer, or a coordinator that waits for the log "
+          "seems unreachable"},
     Order{"relay_timeout", &T::relay_answer, &T::relay_timeout,
-          "must exceed relay_answer, or a node that waits for the log looks "
-          "dead"},
+          "must exceed relay_answer, or a node that waits for the log seems "
+          "unreachable"},
     Order{"reader_timeout", &T::reader_answer, &T::reader_timeout,
-          "must exceed reader_answer, or a node that waits for the log looks "
-          "dead"},
+          "must exceed reader_answer, or a node that waits for the log seems "
+          "unreachable"},
     Order{"log_timeout", &T::append_first_timeout, &T::log_timeout,
           "must exceed append_first_timeout, its upper bound"},
 };
 
-struct ShareOrder {
+struct MemoryOrder {
   std::string_view name;
   double M::*small;
   double M::*      large;
   std::string_view why;
 };
-constexpr std::array kShareOrders{
-    ShareOrder{"memory_calm", &M::calm, &M::near,
-               "must be below memory_near, or a node goes back and forth"},
-    ShareOrder{"memory_turns", &M::turns, &M::near,
-               "must be below memory_near, or turns alone take a node out"},
-    ShareOrder{"memory_near", &M::near, &M::full,
-               "must be below memory_full, or clients are refused before they "
-               "are led elsewhere"},
+constexpr std::array kMemoryOrders{
+    MemoryOrder{"memory_calm", &M::calm, &M::near,
+                "must be below memory_near, or the memory level oscillates"},
+    MemoryOrder{
+        "memory_turns", &M::turns, &M::near,
+        "must be below memory_near, or turns alone make a node unready"},
+    MemoryOrder{"memory_near", &M::near, &M::full,
+                "must be below memory_full, or clients are refused before new "
+                "connections go to other nodes"},
 };
 
-// Calls `use` with the value that the field stands for.
-template <class AnyThresholds, class Use>
-void Visit(const Field& field, AnyThresholds& thresholds, Use use) {
+// Calls `visitor` with the value of `field` in `thresholds`.
+template <class AnyThresholds, class Visitor>
+void Visit(const Field& field, AnyThresholds& thresholds, Visitor visitor) {
   if (const auto* time = std::get_if<Duration T::*>(&field)) {
-    use(thresholds.**time);
+    visitor(thresholds.**time);
   } else if (const auto* number = std::get_if<double T::*>(&field)) {
-    use(thresholds.**number);
-  } else if (const auto* share_of = std::get_if<double L::*>(&field)) {
-    use(thresholds.concurrency_limit.**share_of);
-  } else if (const auto* mark = std::get_if<double M::*>(&field)) {
-    use(thresholds.memory.**mark);
-  } else if (const auto* hold = std::get_if<Duration M::*>(&field)) {
-    use(thresholds.memory.**hold);
-  } else if (const auto* pause = std::get_if<Duration L::*>(&field)) {
-    use(thresholds.concurrency_limit.**pause);
-  } else if (const auto* room = std::get_if<double A::*>(&field)) {
-    use(thresholds.admission.**room);
-  } else if (const auto* room_time = std::get_if<Duration A::*>(&field)) {
-    use(thresholds.admission.**room_time);
-  } else if (const auto* margin = std::get_if<double F::*>(&field)) {
-    use(thresholds.fairness.**margin);
-  } else if (const auto* memory = std::get_if<Duration F::*>(&field)) {
-    use(thresholds.fairness.**memory);
-  } else if (const auto* pace = std::get_if<double P::*>(&field)) {
-    use(thresholds.slowdown.**pace);
-  } else if (const auto* spell = std::get_if<Duration P::*>(&field)) {
-    use(thresholds.slowdown.**spell);
-  } else if (const auto* share = std::get_if<double S::*>(&field)) {
-    use(thresholds.sampling.**share);
-  } else if (const auto* few = std::get_if<std::int64_t S::*>(&field)) {
-    use(thresholds.sampling.**few);
+    visitor(thresholds.**number);
+  } else if (const auto* limit_number = std::get_if<double L::*>(&field)) {
+    visitor(thresholds.concurrency_limit.**limit_number);
+  } else if (const auto* memory_number = std::get_if<double M::*>(&field)) {
+    visitor(thresholds.memory.**memory_number);
+  } else if (const auto* memory_time = std::get_if<Duration M::*>(&field)) {
+    visitor(thresholds.memory.**memory_time);
+  } else if (const auto* limit_time = std::get_if<Duration L::*>(&field)) {
+    visitor(thresholds.concurrency_limit.**limit_time);
+  } else if (const auto* admission_number = std::get_if<double A::*>(&field)) {
+    visitor(thresholds.admission.**admission_number);
+  } else if (const auto* admission_time = std::get_if<Duration A::*>(&field)) {
+    visitor(thresholds.admission.**admission_time);
+  } else if (const auto* fairness_number = std::get_if<double F::*>(&field)) {
+    visitor(thresholds.fairness.**fairness_number);
+  } else if (const auto* fairness_time = std::get_if<Duration F::*>(&field)) {
+    visitor(thresholds.fairness.**fairness_time);
+  } else if (const auto* slowdown_number = std::get_if<double P::*>(&field)) {
+    visitor(thresholds.slowdown.**slowdown_number);
+  } else if (const auto* slowdown_time = std::get_if<Duration P::*>(&field)) {
+    visitor(thresholds.slowdown.**slowdown_time);
+  } else if (const auto* sampling_number = std::get_if<double S::*>(&field)) {
+    visitor(thresholds.sampling.**sampling_number);
+  } else if (const auto* sampling_count =
+                 std::get_if<std::int64_t S::*>(&field)) {
+    visitor(thresholds.sampling.**sampling_count);
   } else {
-    use(thresholds.placement.*std::get<double W::*>(field));
+    visitor(thresholds.placement.*std::get<double W::*>(field));
   }
 }
 
@@ -228,7 +232,7 @@
   return nullptr;
 }
 
-// All of `text` as a number of the type of `value`.
+// Parses all of `text` as a number; false if it is malformed or overflows.
 template <class Number>
 bool ReadNumber(std::string_view text, Number* value) {
   const char* end = text.data() + text.size();
@@ -246,14 +250,14 @@
  public:
   explicit Parser(const Thresholds& base) : m_thresholds(base) {}
 
-  void Take(std::string_view pair) {
+  void Apply(std::string_view pair) {
     const auto   equals = pair.find('=');
     const auto   name = pair.substr(0, equals);
     const Entry* entry = FindEntry(name);
     if (entry == nullptr) {
-      Fault(ThresholdFault::kUnknownName, name, "no such threshold");
+      AddError(ThresholdFault::kUnknownName, name, "no such threshold");
     } else if (equals == std::string_view::npos) {
-      Fault(ThresholdFault::kBadValue, name, "want name=value");
+      AddError(ThresholdFault::kBadValue, name, "want name=value");
     } else {
       Set(*entry, pair.substr(equals + 1));
     }
@@ -262,12 +266,12 @@
   tl::expected<Thresholds, std::vector<ThresholdError>> Finish() {
     for (const Order& order : kOrders) {
       if (m_thresholds.*order.small < m_thresholds.*order.large) continue;
-      Fault(ThresholdFault::kContradiction, order.name, order.why);
+      AddError(ThresholdFault::kContradiction, order.name, order.why);
     }
-    for (const ShareOrder& order : kShareOrders) {
+    for (const MemoryOrder& order : kMemoryOrders) {
       const M& memory = m_thresholds.memory;
       if (memory.*order.small < memory.*order.large) continue;
-      Fault(ThresholdFault::kContradiction, order.name, order.why);
+      AddError(ThresholdFault::kContradiction, order.name, order.why);
     }
     if (!m_errors.empty()) return tl::unexpected(m_errors);
     return m_thresholds;
@@ -278,17 +282,17 @@
     Visit(entry.field, m_thresholds, [&](auto& value) {
       auto number = value;
       if (!ReadNumber(text, &number)) {
-        Fault(ThresholdFault::kBadValue, entry.name, Bounds(entry));
+        AddError(ThresholdFault::kBadValue, entry.name, Bounds(entry));
       } else if (!(static_cast<double>(number) >= entry.low &&
                    static_cast<double>(number) <= entry.high)) {
-        Fault(ThresholdFault::kOutOfRange, entry.name, Bounds(entry));
+        AddError(ThresholdFault::kOutOfRange, entry.name, Bounds(entry));
       } else {
         value = number;
       }
     });
   }
-  void Fault(ThresholdFault fault, std::string_view name,
-             std::string_view detail) {
+  void AddError(ThresholdFault fault, std::string_view name,
+                std::string_view detail) {
     m_errors.push_back({fault, std::string(name), std::string(detail)});
   }
 
@@ -309,7 +313,7 @@
   Parser parser(base);
   while (!text.empty()) {
     const auto comma = text.find(',');
-    parser.Take(text.substr(0, comma));
+    parser.Apply(text.substr(0, comma));
     if (comma == std::string_view::npos) break;
     text.remove_prefix(comma + 1);
   }
--- a/tests/thresholds_test.cc
+++ b/tests/thresholds_test.cc
@@ -1,4 +1,5 @@
-// Thresholds that an operator sets: what is taken, and what is refused how.
+// Parsing of operator thresholds: accepted values, and the error for each
+// invalid one.
 #include "yuccawick/gateway/thresholds.h"
 
 #include <criterion/criterion.h>
@@ -12,20 +13,20 @@
 using gateway::ThresholdFault;
 using gateway::Thresholds;
 
-// The only fault of `text`; ends the test if there is not exactly one.
-gateway::ThresholdError FaultOf(std::string_view text) {
+// The single error of `text`; the test fails unless there is exactly one.
+gateway::ThresholdError OnlyError(std::string_view text) {
   const auto result = ParseThresholds(text, Thresholds());
   cr_assert(!result.has_value() && result.error().size() == 1);
   return result.error().front();
 }
 
-Test(Thresholds, NothingGiven_DefaultsStand) {
+Test(Thresholds, EmptyText_DefaultsAreUsed) {
   const auto result = ParseThresholds("", Thresholds());
   cr_assert(result.has_value());
   cr_assert_eq(result->connect_timeout, Thresholds().connect_timeout);
 }
 
-Test(Thresholds, SeveralGiven_EachIsSetAndOthersStand) {
+Test(Thresholds, SeveralSet_OthersKeepDefaults) {
   const auto result = ParseThresholds(
       "connect_timeout=123,idle_share=0.25,cross_zone_weight=2", Thresholds());
   cr_assert(result.has_value());
@@ -35,7 +36,7 @@
   cr_assert_eq(result->linger, Thresholds().linger);
 }
 
-Test(Thresholds, GivenOverOthers_LaterOnesWin) {
+Test(Thresholds, ParsedOverOthers_LaterValuesWin) {
   const auto first = ParseThresholds("linger=10,find_timeout=20", Thresholds());
   const auto second = ParseThresholds("linger=30", *first);
   cr_assert_eq(second->linger, 30);
@@ -43,7 +44,7 @@
 }
 
 Test(Thresholds, UnknownName_IsRefused) {
-  const auto error = FaultOf("patience=3");
+  const auto error = OnlyError("patience=3");
   cr_assert(error.fault == ThresholdFault::kUnknownName);
   cr_assert(error.threshold == "patience");
 }
@@ -51,43 +52,44 @@
 Test(Thresholds, NotANumber_IsRefused) {
   for (const auto* text : {"linger", "linger=", "linger=3s", "linger=1.5",
                            "idle_share=half", "linger=99999999999999999999"}) {
-    cr_assert(FaultOf(text).fault == ThresholdFault::kBadValue, "%s", text);
+    cr_assert(OnlyError(text).fault == ThresholdFault::kBadValue, "%s", text);
   }
 }
 
-Test(Thresholds, OutsideItsBounds_IsRefusedWithThem) {
+Test(Thresholds, OutOfRange_IsRefusedWithValidRange) {
   for (const auto* text : {"linger=-1", "idle_share=1.1", "idle_share=nan"}) {
-    const auto error = FaultOf(text);
+    const auto error = OnlyError(text);
     cr_assert(error.fault == ThresholdFault::kOutOfRange, "%s", text);
     cr_assert(error.detail.starts_with("want 0 to "), "%s", text);
   }
 }
 
-Test(Thresholds, TwoThatExcludeEachOther_AreRefused) {
+Test(Thresholds, ConflictingPair_IsRefused) {
   for (const auto* text :
        {"outage_memory=200", "load_memory=400", "home_answer=700",
         "relay_timeout=500", "reader_timeout=400", "log_timeout=120"}) {
-    cr_assert(FaultOf(text).fault == ThresholdFault::kContradiction, "%s",
+    cr_assert(OnlyError(text).fault == ThresholdFault::kContradiction, "%s",
               text);
   }
 }
 
-Test(Thresholds, SeveralFaults_AreAllListed) {
+Test(Thresholds, SeveralErrors_AreAllReturned) {
   const auto result =
       ParseThresholds("nonsense=1,linger=x,relay_timeout=5", Thresholds());
   cr_assert(!result.has_value());
   cr_assert_eq(result.error().size(), 3);
 }
 
-Test(Thresholds, Described_EveryLineCanBeGivenBack) {
+Test(Thresholds, Described_EveryLineParsesAgain) {
   Thresholds changed;
   changed.find_timeout = 77;
-  std::string        given;
+  std::string        text_form;
   std::istringstream lines(Describe(changed));
   for (std::string line; std::getline(lines, line);) {
-    given += (given.empty() ? "" : ",") + line.substr(0, line.find(' '));
+    text_form +=
+        (text_form.empty() ? "" : ",") + line.substr(0, line.find(' '));
   }
-  const auto result = ParseThresholds(given, Thresholds());
+  const auto result = ParseThresholds(text_form, Thresholds());
   cr_assert(result.has_value());
   cr_assert_eq(result->find_timeout, 77);
 }
