--- a/src/yuccawick/daemon/agent_main.cc
+++ b/src/yuccawick/daemon/agent_main.cc
@@ -1,7 +1,8 @@
-// yw-agent: the server agent, one beside each backend server.
+// yw-agent: the server agent, one per backend server.
 //
-// Exit codes: 0 stopped as asked, 2 bad settings, 3 superseded (another agent
-// has claimed this one's programs; the platform starts the next incarnation).
+// Exit codes: 0 stopped on request, 2 invalid settings, 3 superseded (another
+// agent has claimed this one's programs; the platform starts the next
+// incarnation).
 #include <Poco/JSON/Array.h>
 #include <Poco/JSON/Object.h>
 #include <gflags/gflags.h>
@@ -20,20 +21,22 @@
 #include "yuccawick/daemon/settings.h"
 #include "yuccawick/daemon/status_server.h"
 
-DEFINE_string(backend, "", "host:port of the backend server beside this agent");
+DEFINE_string(backend, "", "host:port of the backend server of this agent");
 DEFINE_string(kind, "model", "kind of backend server: model or service");
 DEFINE_string(target, "", "name of the model or service it serves");
-DEFINE_int32(slots, 0,
-             "calls given to it at once; 0: 8 for models, 1 for services");
-DEFINE_int32(replicas, 2, "copies of its programs in other zones");
-DEFINE_int32(flush_ms, 4000, "between appends of history");
+DEFINE_int32(slots, 0, "concurrent calls; 0: 8 for models, 1 for services");
+DEFINE_int32(replicas, 2, "replicas of each program in other zones");
+DEFINE_int32(flush_ms, 4000, "interval between appends of history, in ms");
 DEFINE_int32(prefix_tokens, 0,
-             "engine memory for prefixes, tokens; 0: not known");
-DEFINE_int32(prefix_hold_ms, 120000, "unused prefix kept in engine memory");
+             "engine memory for prefixes, in tokens; 0: unknown");
+DEFINE_int32(prefix_hold_ms, 120000,
+             "time an unused prefix stays in engine memory, in ms");
 DEFINE_int32(snapshot_ms, 3600000,
-             "between control snapshots; below a third of the log's retention");
-DEFINE_int32(call_timeout_ms, 120000,
-             "silence of the backend server in a call");
+             "interval between control snapshots, in ms; must be below a third "
+             "of the log's retention");
+DEFINE_int32(
+    call_timeout_ms, 120000,
+    "longest time without data from the backend server in a call, in ms");
 
 namespace yuccawick::daemon {
 namespace {
@@ -41,12 +44,13 @@
 constexpr int            kExitSuperseded = 3;
 constexpr int            kModelSlots = 8;
 constexpr int            kStatusThreads = 4;
-constexpr int            kMostMs = 86'400'000;
-// Recomputing a prompt token is taken to cost this, until engines report it.
+constexpr int            kMaxMs = 86'400'000;
+// Assumed prefill speed of an engine.
 constexpr double         kPrefillTokensPerMs = 10;
-// Measured best of those tried in policy_bench; docs/design/scheduling.md.
-constexpr core::Duration kReluctanceMs = 5000;
-constexpr double         kCrowdingMs = 30;
+// Weights of the cache-aware route policy: the advantage in ms that another
+// server must have, and the cost in ms of 1000 resident tokens.
+constexpr core::Duration kRouteMarginMs = 5000;
+constexpr double         kResidentCostMs = 30;
 
 std::vector<SettingRule> Rules() {
   using Kind = SettingKind;
@@ -57,8 +61,8 @@
                     {"replicas", Kind::kNumber, 0, 3},
                     {"flush_ms", Kind::kNumber, 20, 60000},
                     {"prefix_tokens", Kind::kNumber, 0, 1'000'000'000},
-                    {"prefix_hold_ms", Kind::kNumber, 100, kMostMs},
-                    {"snapshot_ms", Kind::kNumber, 1000, kMostMs},
+                    {"prefix_hold_ms", Kind::kNumber, 100, kMaxMs},
+                    {"snapshot_ms", Kind::kNumber, 1000, kMaxMs},
                     {"call_timeout_ms", Kind::kNumber, 100, 3600000}});
 }
 
@@ -66,7 +70,7 @@
   auto errors = NodeContradictions();
   if (FLAGS_kind == "service" && FLAGS_slots > 1) {
     errors.push_back({SettingFault::kContradiction, "slots",
-                      "a service gets its calls one at a time"});
+                      "a service handles one call at a time"});
   }
   return errors;
 }
@@ -142,7 +146,7 @@
   core::Agent m_agent;
 };
 
-// Gives the backend server its orders, each in a thread of a pool.
+// Runs the core's commands on the backend server, each on a pool thread.
 class BackendRunner {
  public:
   BackendRunner(const backends::BackendClient& client, std::size_t threads)
@@ -150,7 +154,7 @@
 
   void SetShell(NodeShell* shell) { m_shell = shell; }
 
-  void Carry(const core::Command& command) {
+  void Execute(const core::Command& command) {
     if (const auto* run = std::get_if<core::RunCall>(&command)) Run(*run);
     if (const auto* cancel = std::get_if<core::CancelRun>(&command))
       Cancel(cancel->run);
@@ -206,15 +210,15 @@
   JsonLog                        log(self, FLAGS_zone, MinSeverity());
   Metrics                        metrics;
   const core::OldestProgramQueue queue;
-  const core::CacheAwareRoute    route(kPrefillTokensPerMs, kReluctanceMs,
-                                       kCrowdingMs);
+  const core::CacheAwareRoute    route(kPrefillTokensPerMs, kRouteMarginMs,
+                                       kResidentCostMs);
   AgentDecider                   decider(MakeSettings(self), queue, route);
   const auto                     client = MakeClient();
   const auto threads = static_cast<std::size_t>(Slots()) + 2;
   auto       runner = std::make_unique<BackendRunner>(*client, threads);
   NodeShell  shell(
        MakeShellSettings(self), decider, log, metrics,
-       [&](const core::Command& command) { runner->Carry(command); });
+       [&](const core::Command& command) { runner->Execute(command); });
   runner->SetShell(&shell);
   const auto   http = *backends::ParseEndpoint(FLAGS_http);
   StatusServer server(
@@ -222,7 +226,7 @@
       [&] { return shell.Status(); }, [](const auto&) { return nullptr; });
   const auto cause = shell.Run([&] { server.Start(); });
   server.Stop();
-  runner.reset();  // its threads use the shell
+  runner.reset();  // joins its threads, which use the shell
   return cause == core::StopCause::kSuperseded ? kExitSuperseded : 0;
 }
 
--- a/src/yuccawick/daemon/caller_api.cc
+++ b/src/yuccawick/daemon/caller_api.cc
@@ -11,10 +11,6 @@
 
 namespace yuccawick::daemon {
 
-// Index
-//   Handlers   one for each kind of request
-//   Api        mailboxes
-
 namespace {
 
 using core::Failure;
@@ -30,21 +26,22 @@
 
 // ---- Handlers
 
-// What all handlers share: a number, a mailbox and the wait for replies.
+// Base of all handlers: opens the mailbox, runs Serve() and cancels the request
+// if the client stalls or disconnects.
 class Handler : public Poco::Net::HTTPRequestHandler {
  public:
   explicit Handler(CallerApi& api) : m_api(api), m_request(api.NextRequest()) {}
 
   void handleRequest(HTTPServerRequest&  request,
                      HTTPServerResponse& response) final {
-    m_box = m_api.Open(m_request);
+    m_mailbox = m_api.Open(m_request);
     try {
       Serve(request, response);
     } catch (const Poco::TimeoutException&) {
       if (!response.sent()) SendFailure(response, Refuse(Reason::kSlowClient));
-      Abandon();
+      SendCancel();
     } catch (const Poco::Exception&) {
-      Abandon();  // the client has gone
+      SendCancel();  // the client has disconnected
     }
     m_api.Close(m_request);
   }
@@ -53,31 +50,32 @@
   virtual void Serve(HTTPServerRequest&  request,
                      HTTPServerResponse& response) = 0;
 
-  // Waits for the next reply until the deadline has passed by a margin.
+  // Waits for the next reply until shortly after the deadline.
   bool Wait(core::Message* message, core::Duration deadline) {
-    return m_box->Take(message, deadline + m_api.settings().answer_margin);
+    return m_mailbox->Take(message, deadline + m_api.settings().answer_margin);
   }
 
-  void Refused(HTTPServerResponse& response, const Failure& failure) {
+  void SendRefusal(HTTPServerResponse& response, const Failure& failure) {
     m_api.metrics().Add(
         {core::Counter::kRefusals, core::Name(failure.reason), 1});
     SendFailure(response, failure);
   }
 
-  // No reply at all, which only a stopped control thread can explain.
+  // Without any reply the control thread has stopped, so the outcome is
+  // unknown.
   static Failure NoReply() {
     return {Reason::kOutcomeUnknown, core::Ran::kUnknown,
             core::Info(Reason::kHomeUnreachable).retry_after};
   }
 
-  void Abandon() {
+  void SendCancel() {
     m_api.Post(m_request, core::CancelRequest{m_request, m_program});
   }
 
   CallerApi&               m_api;
   std::uint64_t            m_request;
   core::ProgramId          m_program;
-  std::shared_ptr<Mailbox> m_box;
+  std::shared_ptr<Mailbox> m_mailbox;
 };
 
 class StartHandler : public Handler {
@@ -88,7 +86,7 @@
   void Serve(HTTPServerRequest&  request,
              HTTPServerResponse& response) override {
     const auto start = ReadStart(request);
-    if (!start) return Refused(response, start.error());
+    if (!start) return SendRefusal(response, start.error());
     m_api.Post(m_request, *start);
     core::Message message;
     if (!Wait(&message, m_api.settings().default_deadline))
@@ -126,7 +124,7 @@
   }
 };
 
-// Shared by model and service calls.
+// Base of the handlers of model and service calls.
 class CallHandler : public Handler {
  public:
   using Handler::Handler;
@@ -144,8 +142,8 @@
     return call;
   }
 
-  // Posts the call and waits for its whole answer.
-  core::CallReply Ask(const core::Call& call) {
+  // Posts the call and waits for its complete answer.
+  core::CallReply CallAndWait(const core::Call& call) {
     Begin(call);
     core::Message message;
     while (Wait(&message, m_deadline)) {
@@ -189,20 +187,20 @@
   void Serve(HTTPServerRequest&  request,
              HTTPServerResponse& response) override {
     const auto headers = ReadCallHeaders(request, m_api.settings());
-    if (!headers) return Refused(response, headers.error());
+    if (!headers) return SendRefusal(response, headers.error());
     const auto json = ReadJson(request, m_api.settings().max_body_bytes);
-    if (!json) return Refused(response, json.error());
+    if (!json) return SendRefusal(response, json.error());
     const auto model = TextOf(**json, "model", nullptr);
     const auto content = ContentOf(**json);
     const auto tokens = MaxTokensOf(**json);
     if (!model || !content || !tokens)
-      return Refused(response, Refuse(Reason::kMalformed));
+      return SendRefusal(response, Refuse(Reason::kMalformed));
     auto call = ReadCall(*headers);
     call->target = *model;
     call->body = *content;
     call->max_tokens = *tokens;
     if (FlagOf(**json, "stream")) return Stream(*call, response);
-    const auto reply = Ask(*call);
+    const auto reply = CallAndWait(*call);
     if (!reply.ok) return SendFailure(response, reply.failure);
     auto whole = CompletionJson(*call, "chat.completion",
                                 ChoiceJson("message", reply.answer.text, true));
@@ -210,7 +208,7 @@
     SendJson(response, HTTPServerResponse::HTTP_OK, *whole);
   }
 
-  // Headers go out with the first text, so that a refusal before it still has
+  // Headers are sent with the first text, so that a refusal before it still has
   // its own status code.
   void Stream(const core::Call& call, HTTPServerResponse& response) {
     Begin(call);
@@ -280,20 +278,20 @@
   void Serve(HTTPServerRequest&  request,
              HTTPServerResponse& response) override {
     const auto headers = ReadCallHeaders(request, m_api.settings());
-    if (!headers) return Refused(response, headers.error());
+    if (!headers) return SendRefusal(response, headers.error());
     const auto json = ReadJson(request, m_api.settings().max_body_bytes);
-    if (!json) return Refused(response, json.error());
+    if (!json) return SendRefusal(response, json.error());
     const auto arguments = TextOf(**json, "arguments", nullptr);
     if (!arguments || !core::IsValidName(m_service))
-      return Refused(response, Refuse(Reason::kMalformed));
+      return SendRefusal(response, Refuse(Reason::kMalformed));
     auto call = ReadCall(*headers);
     call->kind = core::BackendKind::kService;
     call->target = m_service;
     call->body = *arguments;
-    // Unless the caller says otherwise a service's call is not repeated.
+    // By default a service call must not be repeated.
     call->unrepeatable =
         !(*json)->has("unrepeatable") || FlagOf(**json, "unrepeatable");
-    const auto reply = Ask(*call);
+    const auto reply = CallAndWait(*call);
     if (!reply.ok) return SendFailure(response, reply.failure);
     Object whole(Poco::JSON_PRESERVE_KEY_ORDER);
     whole.set("id", core::ToString(call->program) + "/" +
@@ -315,9 +313,9 @@
   void Serve(HTTPServerRequest&  request,
              HTTPServerResponse& response) override {
     const auto headers = ReadHeaders(request, m_api.settings());
-    if (!headers) return Refused(response, headers.error());
+    if (!headers) return SendRefusal(response, headers.error());
     const auto program = core::ParseProgramId(m_id);
-    if (!program) return Refused(response, Refuse(Reason::kMalformed));
+    if (!program) return SendRefusal(response, Refuse(Reason::kMalformed));
     const bool end = request.getMethod() == Poco::Net::HTTPRequest::HTTP_DELETE;
     m_api.Post(m_request,
                core::ProgramQuery{m_request, *program, headers->customer,
@@ -355,14 +353,15 @@
     const std::lock_guard lock(m_mutex);
     m_messages.push_back(std::move(message));
   }
-  m_put.notify_one();
+  m_message_added.notify_one();
 }
 
 bool Mailbox::Take(core::Message* message, core::Duration limit) {
   std::unique_lock lock(m_mutex);
-  const bool       put = m_put.wait_for(lock, std::chrono::milliseconds(limit),
-                                        [this] { return !m_messages.empty(); });
-  if (!put) return false;
+  const bool       received =
+      m_message_added.wait_for(lock, std::chrono::milliseconds(limit),
+                               [this] { return !m_messages.empty(); });
+  if (!received) return false;
   *message = std::move(m_messages.front());
   m_messages.pop_front();
   return true;
@@ -394,32 +393,32 @@
 }
 
 void CallerApi::Deliver(const core::ReplyToCaller& reply) {
-  std::shared_ptr<Mailbox> box;
+  std::shared_ptr<Mailbox> mailbox;
   {
     const std::lock_guard lock(m_mutex);
-    const auto            it = m_boxes.find(reply.request);
-    if (it == m_boxes.end()) return;
-    box = it->second;
+    const auto            it = m_mailboxes.find(reply.request);
+    if (it == m_mailboxes.end()) return;
+    mailbox = it->second;
   }
-  box->Put(reply.reply);
+  mailbox->Put(reply.reply);
 }
 
 std::shared_ptr<Mailbox> CallerApi::Open(std::uint64_t request) {
-  auto                  box = std::make_shared<Mailbox>();
+  auto                  mailbox = std::make_shared<Mailbox>();
   const std::lock_guard lock(m_mutex);
-  m_boxes[request] = box;
-  return box;
+  m_mailboxes[request] = mailbox;
+  return mailbox;
 }
 
 void CallerApi::Close(std::uint64_t request) {
   const std::lock_guard lock(m_mutex);
-  m_boxes.erase(request);
+  m_mailboxes.erase(request);
 }
 
 void CallerApi::Post(std::uint64_t request, const core::Message& message) {
   if (m_shell.Post(core::CallerMessage{message})) return;
-  // The daemon has stopped; the request went nowhere, and the caller is told so
-  // now instead of waiting for a reply that cannot come.
+  // The daemon has stopped. Refuse at once instead of letting the caller wait
+  // for a reply that cannot come.
   const auto failure = Refuse(Reason::kDraining);
   if (std::holds_alternative<core::StartProgram>(message))
     Deliver({request, core::StartReply{request, false, {}, failure}});
--- a/src/yuccawick/daemon/caller_api.h
+++ b/src/yuccawick/daemon/caller_api.h
@@ -1,7 +1,7 @@
-// The callers' HTTP interface of an entry; docs/API.md describes it.
+// HTTP interface for callers of an entry node, described in docs/API.md.
 //
-// Each request is served by a thread of its own, which hands it to the control
-// thread and waits for its replies in a mailbox.
+// Each request runs on its own thread. The thread posts a message to the
+// control thread and waits for the replies in a mailbox.
 #pragma once
 
 #include <Poco/Net/HTTPRequestHandler.h>
@@ -21,16 +21,16 @@
 
 namespace yuccawick::daemon {
 
-// Replies to one request, as they come.
+// Queue of the replies to one request. Thread-safe.
 class Mailbox {
  public:
   void Put(core::Message message);
-  // The next reply; none within `limit` ms gives false.
+  // Waits up to `limit` ms for the next reply; returns false on timeout.
   bool Take(core::Message* message, core::Duration limit);
 
  private:
   std::mutex                m_mutex;
-  std::condition_variable   m_put;
+  std::condition_variable   m_message_added;
   std::deque<core::Message> m_messages;
 };
 
@@ -38,13 +38,15 @@
  public:
   CallerApi(CallerApiSettings settings, NodeShell& shell, Metrics& metrics);
 
-  // A handler for the request's path; for an unknown path one that says so.
+  // Creates the handler for the request's path. An unknown path gets a handler
+  // that answers 404.
   Poco::Net::HTTPRequestHandler* Make(
       const Poco::Net::HTTPServerRequest& request);
-  // A reply of the core; called in the control thread.
+  // Passes a reply of the core to the waiting thread. Called on the control
+  // thread; a reply to a closed mailbox is dropped.
   void Deliver(const core::ReplyToCaller& reply);
 
-  // For the handlers.
+  // Used by the handlers.
   std::uint64_t            NextRequest() { return ++m_requests; }
   std::shared_ptr<Mailbox> Open(std::uint64_t request);
   void                     Close(std::uint64_t request);
@@ -58,7 +60,7 @@
   Metrics&                                          m_metrics;
   std::atomic<std::uint64_t>                        m_requests = 0;
   std::mutex                                        m_mutex;
-  std::map<std::uint64_t, std::shared_ptr<Mailbox>> m_boxes;
+  std::map<std::uint64_t, std::shared_ptr<Mailbox>> m_mailboxes;
 };
 
 }  // namespace yuccawick::daemon
--- a/src/yuccawick/daemon/caller_json.cc
+++ b/src/yuccawick/daemon/caller_json.cc
@@ -10,10 +10,6 @@
 
 namespace yuccawick::daemon {
 
-// Index
-//   Requests   reading and checking what callers send
-//   Replies    writing what they get
-
 namespace {
 
 using core::Failure;
@@ -25,8 +21,8 @@
 
 constexpr core::Duration kMsPerSecond = 1000;
 constexpr core::Tokens   kDefaultMaxTokens = 256;
-constexpr std::size_t    kMostDiscarded = 64U << 20U;  // bytes
-constexpr core::Tokens   kMostTokens = 1'000'000;
+constexpr std::size_t    kMaxDiscardedBytes = 64U << 20U;
+constexpr core::Tokens   kMaxCallTokens = 1'000'000;
 
 tl::unexpected<Failure> Malformed() {
   return tl::make_unexpected(Refuse(Reason::kMalformed));
@@ -43,7 +39,7 @@
 }
 
 template <class T>
-bool ParseWhole(const std::string& text, T* value) {
+bool ParseNumber(const std::string& text, T* value) {
   const char* last = text.data() + text.size();
   const auto [end, error] = std::from_chars(text.data(), last, *value);
   return error == std::errc() && end == last && !text.empty();
@@ -60,7 +56,7 @@
   if (!core::IsValidName(headers.workspace)) return Malformed();
   headers.deadline = settings.default_deadline;
   const std::string deadline = Header(request, "Deadline-Ms");
-  if (!deadline.empty() && !ParseWhole(deadline, &headers.deadline))
+  if (!deadline.empty() && !ParseNumber(deadline, &headers.deadline))
     return Malformed();
   if (headers.deadline <= 0 || headers.deadline > settings.max_deadline)
     return Malformed();
@@ -74,7 +70,7 @@
   const auto program = core::ParseProgramId(Header(request, "Program"));
   if (!program) return Malformed();
   headers->program = *program;
-  if (!ParseWhole(Header(request, "Sequence"), &headers->sequence))
+  if (!ParseNumber(Header(request, "Sequence"), &headers->sequence))
     return Malformed();
   if (headers->sequence == 0) return Malformed();
   return headers;
@@ -97,24 +93,24 @@
 }
 
 tl::expected<std::string, Failure> ReadBody(HTTPServerRequest& request,
-                                            std::size_t        most) {
+                                            std::size_t        max_bytes) {
   std::string body;
   std::size_t read = 0;
   char        buffer[4096];
   auto&       in = request.stream();
   while (in.read(buffer, sizeof(buffer)) || in.gcount() > 0) {
     read += static_cast<std::size_t>(in.gcount());
-    // A client that is still sending would not see the refusal: what is too
-    // much is read on and dropped, up to a point.
-    if (read > kMostDiscarded) break;
-    if (read <= most)
+    // A client that is still sending would not see the refusal, so the rest of
+    // an oversized body is read and discarded, up to a limit.
+    if (read > kMaxDiscardedBytes) break;
+    if (read <= max_bytes)
       body.append(buffer, static_cast<std::size_t>(in.gcount()));
   }
-  if (read > most) return tl::make_unexpected(Refuse(Reason::kTooLarge));
+  if (read > max_bytes) return tl::make_unexpected(Refuse(Reason::kTooLarge));
   const bool whole =
       !request.hasContentLength() ||
       body.size() == static_cast<std::size_t>(request.getContentLength64());
-  // A client that closed or stalled halfway: its request is not acted upon.
+  // The client closed or stalled before the end of its request.
   if (!whole) return tl::make_unexpected(Refuse(Reason::kSlowClient));
   return body;
 }
@@ -122,8 +118,8 @@
 }  // namespace
 
 tl::expected<Object::Ptr, Failure> ReadJson(HTTPServerRequest& request,
-                                            std::size_t        most) {
-  const auto body = ReadBody(request, most);
+                                            std::size_t        max_bytes) {
+  const auto body = ReadBody(request, max_bytes);
   if (!body) return tl::make_unexpected(body.error());
   if (!IsText(*body)) return Malformed();
   try {
@@ -169,7 +165,7 @@
   const auto value = json.get("max_tokens");
   if (!value.isInteger()) return Malformed();
   const auto tokens = value.convert<core::Tokens>();
-  if (tokens <= 0 || tokens > kMostTokens) return Malformed();
+  if (tokens <= 0 || tokens > kMaxCallTokens) return Malformed();
   return tokens;
 }
 
--- a/src/yuccawick/daemon/caller_json.h
+++ b/src/yuccawick/daemon/caller_json.h
@@ -1,7 +1,7 @@
-// Callers' requests and replies as HTTP headers and JSON.
+// Conversion between callers' HTTP headers and JSON and the core's types.
 //
-// Reading gives a typed failure for whatever is not of the interface; nothing
-// here acts on a request. docs/API.md describes the interface.
+// The Read and ...Of functions return a typed failure for invalid input;
+// nothing here acts on a request. The interface is described in docs/API.md.
 #pragma once
 
 #include <Poco/JSON/Object.h>
@@ -21,7 +21,7 @@
   std::size_t    max_body_bytes = 1 << 20;
   core::Duration default_deadline = 60000;  // ms
   core::Duration max_deadline = 3600000;    // ms
-  core::Duration answer_margin = 15000;  // ms past the deadline for an answer
+  core::Duration answer_margin = 15000;     // ms to wait past the deadline
 };
 
 // ---- Requests
@@ -31,33 +31,34 @@
   std::string     workspace;
   core::ProgramId program;
   core::Sequence  sequence = 0;
-  core::Duration  deadline = 0;  // ms from now
+  core::Duration  deadline = 0;  // ms from the time of the request
 };
 
-// What every request carries: customer, workspace, deadline.
+// Reads the headers of every request: customer, workspace, deadline.
 tl::expected<CallerHeaders, core::Failure> ReadHeaders(
     const Poco::Net::HTTPServerRequest& request,
     const CallerApiSettings&            settings);
-// The same with program and sequence.
+// Also reads the headers of calls: program and sequence.
 tl::expected<CallerHeaders, core::Failure> ReadCallHeaders(
     const Poco::Net::HTTPServerRequest& request,
     const CallerApiSettings&            settings);
 
-// The body as a JSON object of at most `most` bytes.
+// Reads the body as a JSON object of at most `max_bytes` bytes.
 tl::expected<Poco::JSON::Object::Ptr, core::Failure> ReadJson(
-    Poco::Net::HTTPServerRequest& request, std::size_t most);
+    Poco::Net::HTTPServerRequest& request, std::size_t max_bytes);
 
-// A text member; `fallback` if it is absent (null: it must be there).
+// Reads a string member. If it is absent, returns `*fallback`, or a failure if
+// `fallback` is null.
 tl::expected<std::string, core::Failure> TextOf(const Poco::JSON::Object& json,
                                                 const std::string&        name,
                                                 const std::string* fallback);
-// The new messages of a chat completion, as one text. History is kept by the
-// system and not sent again.
+// Joins the new messages of a chat completion into one text. Callers do not
+// resend the history, which the system stores.
 tl::expected<std::string, core::Failure> ContentOf(
     const Poco::JSON::Object& json);
 tl::expected<core::Tokens, core::Failure> MaxTokensOf(
     const Poco::JSON::Object& json);
-// True if the member is there and true.
+// True if the member exists and is `true`.
 bool FlagOf(const Poco::JSON::Object& json, const std::string& name);
 
 // ---- Replies
@@ -65,17 +66,17 @@
 std::string             ToText(const Poco::JSON::Object& json);
 Poco::JSON::Object::Ptr FailureJson(const core::Failure& failure);
 Poco::JSON::Object::Ptr UsageJson(const core::Usage& usage);
-// One choice; `key` is "message" or "delta".
+// Formats one choice; `key` is "message" or "delta".
 Poco::JSON::Object::Ptr ChoiceJson(const char* key, const std::string& content,
                                    bool finished);
-// A completion or a chunk of one; `kind` is its "object".
+// Formats a completion or a chunk of one; `kind` is its "object" member.
 Poco::JSON::Object::Ptr CompletionJson(const core::Call& call, const char* kind,
                                        const Poco::JSON::Object::Ptr& choice);
 Poco::JSON::Object::Ptr ProgramJson(const core::ProgramDelta& program);
 
 void SendJson(Poco::Net::HTTPServerResponse& response, int status,
               const Poco::JSON::Object& json);
-// With status and Retry-After of the failure.
+// Sends the failure as JSON, with its HTTP status and Retry-After header.
 void SendFailure(Poco::Net::HTTPServerResponse& response,
                  const core::Failure&           failure);
 
--- a/src/yuccawick/daemon/entry_main.cc
+++ b/src/yuccawick/daemon/entry_main.cc
@@ -1,6 +1,7 @@
-// yw-entry: the entry daemon, on the thin VMs behind the platform's balancer.
+// yw-entry: the entry daemon, which runs on small VMs behind the platform's
+// load balancer.
 //
-// Exit codes: 0 stopped as asked, 2 bad settings.
+// Exit codes: 0 stopped on request, 2 invalid settings.
 #include <Poco/JSON/Object.h>
 #include <gflags/gflags.h>
 
@@ -14,10 +15,12 @@
 #include "yuccawick/daemon/settings.h"
 #include "yuccawick/daemon/status_server.h"
 
-DEFINE_int32(threads, 256, "callers' requests served at once");
-DEFINE_int32(max_body_kb, 1024, "largest request body");
-DEFINE_int32(client_timeout_ms, 10000, "for a caller to send or read on");
-DEFINE_int32(default_deadline_ms, 60000, "of a call that names none");
+DEFINE_int32(threads, 256, "concurrent requests of callers");
+DEFINE_int32(max_body_kb, 1024, "largest request body, in KB");
+DEFINE_int32(client_timeout_ms, 10000,
+             "longest time that a caller may stall, in ms");
+DEFINE_int32(default_deadline_ms, 60000,
+             "deadline of calls that set none, in ms");
 
 namespace yuccawick::daemon {
 namespace {
--- a/src/yuccawick/daemon/gateway_main.cc
+++ b/src/yuccawick/daemon/gateway_main.cc
@@ -1,8 +1,9 @@
-// yw-gateway: a node of the users' platform that takes clients' traffic.
+// yw-gateway: the gateway daemon, which serves clients' traffic on the
+// platform.
 //
-// Two threads: the main one serves traffic, the other follows the manifest and
-// the list of backend servers. Signals: SIGTERM stops in order, SIGHUP reads
-// the settings file again.
+// The main thread serves traffic; the control thread follows the manifest and
+// the list of backend servers. SIGTERM and SIGINT stop gracefully, SIGHUP
+// reloads the settings file.
 #include <gflags/gflags.h>
 #include <signal.h>
 #include <sys/signalfd.h>
@@ -22,13 +23,12 @@
 #include "yuccawick/net/newest.h"
 
 DEFINE_bool(check, false,
-            "check the settings file and the thresholds, list them and leave");
-DEFINE_string(thresholds, "",
-              "name=value, separated by commas; over those of the environment "
-              "variable YUCCAWICK_THRESHOLDS; --check lists them");
-DEFINE_string(settings, "",
-              "settings file; by default where the platform "
-              "puts it");
+            "check the settings file and the thresholds, print them and exit");
+DEFINE_string(
+    thresholds, "",
+    "comma-separated name=value pairs; override those of the environment "
+    "variable YUCCAWICK_THRESHOLDS; --check prints all");
+DEFINE_string(settings, "", "settings file; default: the platform's path");
 
 namespace yuccawick::daemon {
 namespace {
@@ -45,19 +45,18 @@
   return set;
 }
 
-// A signal in the first moments waits; by default it would end the process.
-// Holds in all threads that start later too.
+// Blocks the handled signals in this thread and all threads started later. A
+// signal during startup would otherwise end the process.
 void BlockSignals() {
   const sigset_t set = HandledSignals();
   sigprocmask(SIG_BLOCK, &set, nullptr);
 }
 
-// Reads signals as bytes, so that they are handled between two events. They
-// must be blocked.
+// Delivers the blocked signals through the event loop.
 class Signals final : public net::SocketHandler {
  public:
-  Signals(net::EventLoop* loop, std::function<void(int)> take)
-      : m_loop(loop), m_take(std::move(take)) {
+  Signals(net::EventLoop* loop, std::function<void(int)> on_signal)
+      : m_loop(loop), m_on_signal(std::move(on_signal)) {
     const sigset_t set = HandledSignals();
     m_fd = signalfd(-1, &set, SFD_NONBLOCK | SFD_CLOEXEC);
     if (m_fd >= 0) m_loop->Watch(m_fd, this, true, false);
@@ -71,7 +70,7 @@
     signalfd_siginfo info{};
     while (read(m_fd, &info, sizeof info) ==
            static_cast<ssize_t>(sizeof info)) {
-      m_take(static_cast<int>(info.ssi_signo));
+      m_on_signal(static_cast<int>(info.ssi_signo));
     }
   }
   void OnWritable() override {}
@@ -79,11 +78,11 @@
 
  private:
   net::EventLoop*          m_loop;
-  std::function<void(int)> m_take;
+  std::function<void(int)> m_on_signal;
   int                      m_fd = -1;
 };
 
-// Names this start of this node; another start gets another.
+// A unique name of this process run.
 std::string NewIncarnation(const std::string& node) {
   std::random_device random;
   return node + "/" + std::to_string(random()) + std::to_string(random());
@@ -163,8 +162,8 @@
   return 0;
 }
 
-// The thresholds of the environment and, over them, of the command line. Every
-// fault is listed on standard error.
+// Merges the thresholds of the environment and of the command line, which takes
+// precedence. Prints every error to standard error.
 std::optional<gateway::Thresholds> ReadThresholds() {
   const char* variable = std::getenv(kThresholdsVariable);
   auto result = gateway::ParseThresholds(variable == nullptr ? "" : variable,
@@ -189,7 +188,7 @@
   const auto thresholds = ReadThresholds();
   if (!settings || !thresholds) return kExitBadSettings;
   if (!FLAGS_check) return Serve(*settings, path, *thresholds);
-  std::cout << "settings are fine; thresholds:\n" << Describe(*thresholds);
+  std::cout << "settings are valid; thresholds:\n" << Describe(*thresholds);
   return 0;
 }
 
@@ -198,7 +197,7 @@
 
 int main(int argc, char** argv) {
   yuccawick::daemon::BlockSignals();
-  gflags::SetUsageMessage("takes clients' traffic on the users' platform");
+  gflags::SetUsageMessage("serves clients' traffic on the platform");
   gflags::ParseCommandLineFlags(&argc, &argv, true);
   return yuccawick::daemon::Main();
 }
--- a/src/yuccawick/daemon/node_flags.cc
+++ b/src/yuccawick/daemon/node_flags.cc
@@ -2,15 +2,19 @@
 
 DEFINE_string(vm, "", "name of this VM");
 DEFINE_string(zone, "", "availability zone of this VM");
-DEFINE_string(listen, "", "host:port for other nodes (RPC)");
-DEFINE_string(http, "",
-              "host:port for /healthz, /status, /metrics and callers");
+DEFINE_string(listen, "", "host:port of the RPC listener for other nodes");
+DEFINE_string(
+    http, "",
+    "host:port of the HTTP server: /healthz, /status, /metrics, callers");
 DEFINE_string(log_service, "", "host:port of the platform's log");
 DEFINE_string(vm_list, "", "host:port of the platform's list of VMs");
-DEFINE_int32(control_poll_ms, 2000, "between reads of the control stream");
-DEFINE_int32(probe_ms, 500, "between probes of one peer");
-DEFINE_int32(suspect_ms, 2000, "silence after which a peer is suspect");
-DEFINE_string(log_level, "info", "least severity logged");
+DEFINE_int32(control_poll_ms, 2000,
+             "interval between reads of the control stream, in ms");
+DEFINE_int32(probe_ms, 500, "interval between probes of one peer, in ms");
+DEFINE_int32(suspect_ms, 2000,
+             "time without an answer after which a peer is suspected, in ms");
+DEFINE_string(log_level, "info",
+              "lowest severity logged: debug, info, warning or error");
 
 namespace yuccawick::daemon {
 
@@ -43,7 +47,7 @@
   }
   if (FLAGS_suspect_ms < 2 * FLAGS_probe_ms) {
     errors.push_back({SettingFault::kContradiction, "suspect_ms",
-                      "must allow for two probes (probe_ms)"});
+                      "must be at least twice probe_ms"});
   }
   return errors;
 }
--- a/src/yuccawick/daemon/node_flags.h
+++ b/src/yuccawick/daemon/node_flags.h
@@ -1,4 +1,5 @@
-// Flags that entries and agents share, and what follows from them.
+// Command-line flags shared by yw-entry and yw-agent, and the settings built
+// from them.
 #pragma once
 
 #include <gflags/gflags.h>
@@ -17,8 +18,9 @@
 
 namespace yuccawick::daemon {
 
-// The shared flags' rules followed by the daemon's own.
+// Rules for the shared flags, followed by `own`.
 std::vector<SettingRule>  NodeRules(const std::vector<SettingRule>& own);
+// Conflicts between shared flags.
 std::vector<SettingError> NodeContradictions();
 
 core::Severity            MinSeverity();
--- a/src/yuccawick/daemon/node_shell.cc
+++ b/src/yuccawick/daemon/node_shell.cc
@@ -14,24 +14,18 @@
 
 namespace yuccawick::daemon {
 
-// Index
-//   Link     the way to one other node
-//   Server   messages that come in
-//   Loop     the control thread
-//   Shell    the public face
-
 namespace {
 
-constexpr std::size_t kReadThreads = 2;
-constexpr std::size_t kMostUnsent = 4096;  // messages waiting for one peer
+constexpr std::size_t kLogReadThreads = 2;
+constexpr std::size_t kMaxUnsent = 4096;  // messages queued per peer
 
 // ---- Link
 
-// A connection to one peer. Messages are handed over in order, each at most
-// once: a message is never sent again, so that a receiver sees no copies.
+// A connection to one peer. Delivers messages in order and at most once: a
+// failed message is not resent, so receivers see no duplicates.
 class Link {
  public:
-  // The message is given if it has certainly not been sent.
+  // `unsent` is set if the message was certainly not sent, null otherwise.
   using OnFailed = std::function<void(const core::Message* unsent)>;
 
   Link(kj::Network& network, std::string address, OnFailed on_failed)
@@ -57,7 +51,7 @@
                 m_on_failed(m_node ? nullptr : &envelope.message);
               });
   }
-  bool IsFull() const { return m_unsent >= kMostUnsent; }
+  bool IsFull() const { return m_unsent >= kMaxUnsent; }
 
  private:
   kj::Promise<void> Connect(kj::Network& network) {
@@ -70,8 +64,8 @@
           m_stream = kj::mv(stream);
           m_client = kj::heap<capnp::TwoPartyClient>(*m_stream);
           m_node = m_client->bootstrap().castAs<rpc::wire::Node>();
-          // Noticed at once: a message sent into a connection whose other end
-          // has gone would be lost.
+          // Detects a disconnect at once: messages sent to a closed connection
+          // would be lost.
           m_disconnected = m_client->onDisconnect()
                                .then([this] { m_broken = true; })
                                .eagerlyEvaluate(nullptr);
@@ -120,9 +114,9 @@
   explicit Loop(NodeShell& shell)
       : m_shell(shell),
         m_io(SetUpIo()),
-        m_appends(1),
-        m_reads(kReadThreads),
-        m_lists(1),
+        m_append_pool(1),
+        m_read_pool(kLogReadThreads),
+        m_vm_list_pool(1),
         m_tasks(*this) {}
 
   core::StopCause Run(const std::function<void()>& on_ready) {
@@ -135,15 +129,15 @@
     auto stopped = kj::newPromiseAndFulfiller<void>();
     m_stopped = kj::mv(stopped.fulfiller);
     stopped.promise.wait(m_io.waitScope);
-    // Let the last messages out before the links go.
+    // Let the last messages be sent before the links are closed.
     const auto grace = kGraceMs * kj::MILLISECONDS;
     m_io.provider->getTimer().afterDelay(grace).wait(m_io.waitScope);
     Close();
     return m_cause;
   }
 
-  // From any thread: has the job run in the control thread soon. False once the
-  // loop has ended: the job will not run.
+  // Schedules the job on the control thread. Thread-safe. Returns false if the
+  // loop has ended and the job will not run.
   bool Add(Job job) {
     const std::lock_guard lock(m_jobs_mutex);
     if (m_closed) return false;
@@ -156,11 +150,11 @@
 
   void Handle(const core::Event& event) {
     for (const auto& command : m_shell.m_decider.Handle(WallClock(), event))
-      Carry(command);
+      Execute(command);
   }
 
  private:
-  // Takes no more jobs, and runs those already taken.
+  // Rejects further jobs and runs the queued ones.
   void Close() {
     std::deque<Job> jobs;
     {
@@ -171,16 +165,16 @@
     for (const auto& job : jobs) job();
   }
 
-  static constexpr int kGraceMs = 100;
+  static constexpr int kGraceMs = 100;  // for the last messages
 
-  // Signals are captured before any other thread is there to take them.
+  // Captures the signals before other threads start.
   static kj::AsyncIoContext SetUpIo() {
     kj::UnixEventPort::captureSignal(SIGTERM);
     kj::UnixEventPort::captureSignal(SIGINT);
     return kj::setupAsyncIo();
   }
 
-  // Runs jobs of other threads, in the order they came.
+  // Runs jobs of other threads in FIFO order.
   kj::Promise<void> JobLoop() {
     std::deque<Job>   jobs;
     kj::Promise<void> woken = kj::READY_NOW;
@@ -228,14 +222,15 @@
 
   void ReadVmListIfDue() {
     const auto now = WallClock();
-    if (now < m_next_list) return;
-    m_next_list = now + m_shell.m_settings.vm_list_interval;
-    m_lists.Add([this] {
+    if (now < m_next_vm_list_read) return;
+    m_next_vm_list_read = now + m_shell.m_settings.vm_list_interval;
+    m_vm_list_pool.Add([this] {
       const auto list = m_shell.m_vm_client.Read();
       if (!list) return;
       Add([this, list = *list] {
         for (const auto& vm : list.vms) {
-          // What a node says of itself goes before the lagging list.
+          // An address reported by the node itself takes precedence over the
+          // list, which lags behind.
           if (!vm.address.empty()) m_addresses.try_emplace(vm.vm, vm.address);
         }
         Handle(list);
@@ -243,17 +238,17 @@
     });
   }
 
-  void Carry(const core::Command& command) {
+  void Execute(const core::Command& command) {
     std::visit(
         [&](const auto& c) {
           using C = std::decay_t<decltype(c)>;
           if constexpr (std::is_same_v<C, core::SendMessage>) {
             Send(c);
           } else if constexpr (std::is_same_v<C, core::AppendRecords>) {
-            m_appends.Add(
+            m_append_pool.Add(
                 [this, c] { m_shell.Post(m_shell.m_log_client.Append(c)); });
           } else if constexpr (std::is_same_v<C, core::ReadRecords>) {
-            m_reads.Add(
+            m_read_pool.Add(
                 [this, c] { m_shell.Post(m_shell.m_log_client.Read(c)); });
           } else if constexpr (std::is_same_v<C, core::LogLine>) {
             m_shell.m_log.Write(c);
@@ -273,41 +268,41 @@
     const auto& control = m_shell.m_decider.control();
     if (const auto* member = control.FindMember(node); member != nullptr)
       return member->join.address;
-    const auto known = m_addresses.find(node.vm);
-    return known == m_addresses.end() ? "" : known->second;
+    const auto entry = m_addresses.find(node.vm);
+    return entry == m_addresses.end() ? "" : entry->second;
   }
 
   void Send(const core::SendMessage& send) {
     const std::string address = AddressOf(send.to);
-    if (address.empty()) return Failed(send.to, &send.message);
+    if (address.empty()) return ReportSendFailure(send.to, &send.message);
     auto&      link = m_links[send.to.vm];
     const bool stale = link.get() != nullptr &&
                        (link->IsBroken() || link->address() != address);
-    // Links are dropped outside their own callbacks only.
+    // A link must not be destroyed inside its own callback.
     if (stale) {
-      m_retired.push_back(kj::mv(link));
+      m_closed_links.push_back(kj::mv(link));
       link = nullptr;
     }
     if (link.get() == nullptr) {
       link = kj::heap<Link>(m_io.provider->getNetwork(), address,
                             [this, to = send.to](const core::Message* unsent) {
-                              Failed(to, unsent);
+                              ReportSendFailure(to, unsent);
                             });
     }
-    if (link->IsFull()) return Failed(send.to, &send.message);
+    if (link->IsFull()) return ReportSendFailure(send.to, &send.message);
     m_tasks.add(link->Send({m_shell.m_settings.self, send.to,
                             m_shell.m_settings.listen, send.message}));
   }
 
-  // Told to the core in a turn of its own: it may be in the middle of one now.
-  void Failed(const core::NodeRef& to, const core::Message* unsent) {
+  // Deferred: the core may be handling an event now.
+  void ReportSendFailure(const core::NodeRef& to, const core::Message* unsent) {
     core::SendFailed failed{to, {}};
     if (unsent != nullptr) failed.unsent = *unsent;
     m_tasks.add(kj::evalLater([this, failed] { Handle(failed); }));
   }
 
   void taskFailed(kj::Exception&& exception) override {
-    (void)exception;  // a peer's broken connection; its link has told the core
+    (void)exception;  // a peer disconnected; its link has reported that
   }
 
   NodeShell&                                     m_shell;
@@ -317,15 +312,15 @@
   kj::Own<kj::CrossThreadPromiseFulfiller<void>> m_wake;
   bool                                           m_closed = false;
   core::StopCause                      m_cause = core::StopCause::kDrained;
-  core::Time                           m_next_list = 0;
-  WorkerPool                           m_appends;
-  WorkerPool                           m_reads;
-  WorkerPool                           m_lists;
+  core::Time                           m_next_vm_list_read = 0;
+  WorkerPool                           m_append_pool;
+  WorkerPool                           m_read_pool;
+  WorkerPool                           m_vm_list_pool;
   std::map<std::string, std::string>   m_addresses;
   kj::Own<kj::ConnectionReceiver>      m_listener;
   kj::Own<capnp::TwoPartyServer>       m_server;
   std::map<std::string, kj::Own<Link>> m_links;
-  std::vector<kj::Own<Link>>           m_retired;
+  std::vector<kj::Own<Link>>           m_closed_links;
   kj::Own<kj::PromiseFulfiller<void>>  m_stopped;
   kj::TaskSet                          m_tasks;
 };
@@ -355,14 +350,14 @@
 
 std::string NodeShell::Status() {
   const auto status = std::make_shared<std::promise<std::string>>();
-  auto       told = status->get_future();
+  auto       status_future = status->get_future();
   const bool added =
       m_loop->Add([this, status] { status->set_value(m_decider.Status()); });
   if (!added) return {};
   const auto limit =
       std::chrono::milliseconds(m_settings.http.answer_timeout_ms);
-  if (told.wait_for(limit) != std::future_status::ready) return {};
-  return told.get();
+  if (status_future.wait_for(limit) != std::future_status::ready) return {};
+  return status_future.get();
 }
 
 void BlockStopSignals() {
--- a/src/yuccawick/daemon/node_shell.h
+++ b/src/yuccawick/daemon/node_shell.h
@@ -1,5 +1,6 @@
-// What every daemon has around its core: the control thread with its event
-// loop, the links to other nodes, and the platform's log and VM list.
+// Runs the core of an agent or entry daemon: the control thread with its event
+// loop, the connections to other nodes, and the clients of the platform's log
+// and VM list.
 //
 // The control thread runs Cap'n Proto's event loop and is the only one that
 // touches the core. Other threads hand it events with Post().
@@ -25,14 +26,14 @@
 
 namespace yuccawick::daemon {
 
-// The core of one daemon, an agent's or an entry's.
+// The core of one daemon: turns events into commands.
 class Decider {
  public:
   virtual ~Decider() = default;
   virtual std::vector<core::Command> Handle(core::Time         now,
                                             const core::Event& event) = 0;
   virtual const core::Control&       control() const = 0;
-  // A readable page of the present state, as JSON.
+  // The current state as indented JSON.
   virtual std::string                Status() const = 0;
 };
 
@@ -48,7 +49,7 @@
 
 class NodeShell {
  public:
-  // `on_command` gets the commands that only this kind of daemon knows.
+  // `on_command` receives the commands that NodeShell does not execute itself.
   using CommandSink = std::function<void(const core::Command&)>;
   NodeShell(ShellSettings settings, Decider& decider, JsonLog& log,
             Metrics& metrics, CommandSink on_command);
@@ -56,14 +57,16 @@
   NodeShell(const NodeShell&) = delete;
   NodeShell& operator=(const NodeShell&) = delete;
 
-  // Runs until the core says stop, in the calling thread, which becomes the
-  // control thread. Returns why it stopped. `on_ready` runs once it listens.
+  // Runs the event loop in the calling thread, which becomes the control
+  // thread, until the core stops. Calls `on_ready` once the node listens.
+  // Returns the cause of the stop.
   core::StopCause Run(const std::function<void()>& on_ready);
 
-  // From any other thread. False once the loop has ended: the core will not see
-  // the event.
+  // Hands an event to the core. Thread-safe. Returns false if the loop has
+  // ended and the core will not see the event.
   bool        Post(const core::Event& event);
-  // The decider's status, read in the control thread; empty after the end.
+  // The decider's status, read on the control thread; empty after the loop has
+  // ended or on timeout.
   std::string Status();
 
  private:
@@ -79,14 +82,14 @@
   std::unique_ptr<Loop>  m_loop;
 };
 
-// Leaves SIGTERM and SIGINT to the control thread. Call it before any thread is
-// started: one started earlier would take the signal, and the process would end
-// in the middle of its work.
+// Blocks SIGTERM and SIGINT, which the control thread handles. Call it before
+// any thread starts: an earlier thread would receive the signal, and the
+// process would end without draining.
 void BlockStopSignals();
 
 core::Time WallClock();  // ms since the epoch
 
-// A number for a new incarnation; unique in time and by chance.
+// A number for a new incarnation: the time with random low bits.
 std::uint64_t GenerateIncarnation();
 
 }  // namespace yuccawick::daemon
--- a/src/yuccawick/daemon/settings.cc
+++ b/src/yuccawick/daemon/settings.cc
@@ -12,7 +12,7 @@
 #include "yuccawick/backends/http.h"
 #include "yuccawick/core/types.h"
 
-DEFINE_bool(check, false, "check the settings and leave");
+DEFINE_bool(check, false, "check the settings and exit");
 
 namespace yuccawick::daemon {
 namespace {
@@ -60,8 +60,9 @@
   std::int64_t number = 0;
   const auto [end, error] =
       std::from_chars(value.data(), value.data() + value.size(), number);
-  const bool whole = error == std::errc() && end == value.data() + value.size();
-  if (whole && number >= rule.low && number <= rule.high) return;
+  const bool is_number =
+      error == std::errc() && end == value.data() + value.size();
+  if (is_number && number >= rule.low && number <= rule.high) return;
   errors->push_back({SettingFault::kOutOfRange, rule.flag,
                      "want " + std::to_string(rule.low) + " to " +
                          std::to_string(rule.high) + ", have " + value});
@@ -71,9 +72,9 @@
                  std::vector<SettingError>* errors) {
   const auto& choices = rule.choices;
   if (std::find(choices.begin(), choices.end(), value) != choices.end()) return;
-  std::string wanted = "want one of";
-  for (const auto& choice : choices) wanted += " " + choice;
-  errors->push_back({SettingFault::kBadValue, rule.flag, wanted});
+  std::string expected = "want one of";
+  for (const auto& choice : choices) expected += " " + choice;
+  errors->push_back({SettingFault::kBadValue, rule.flag, expected});
 }
 
 constexpr std::array<Check, 4> kChecks{CheckName, CheckEndpoint, CheckNumber,
@@ -105,7 +106,7 @@
                         "no such setting"});
       continue;
     }
-    if (!info.is_default) continue;  // the command line goes first
+    if (!info.is_default) continue;  // the command line takes precedence
     const std::string value = entry.substr(equals + 1);
     if (gflags::SetCommandLineOption(flag.c_str(), value.c_str()).empty())
       errors.push_back({SettingFault::kBadValue, flag, "have " + value});
@@ -130,8 +131,7 @@
 bool LoadSettings(int* argc, char*** argv,
                   const std::vector<SettingRule>& rules,
                   const ExtraCheck& extra, int* exit) {
-  // An unknown or malformed flag ends the process here, with all of them
-  // listed.
+  // gflags prints unknown and malformed flags and exits.
   gflags::ParseCommandLineFlags(argc, argv, true);
   auto       errors = ApplyEnvironment(ProcessEnvironment());
   const auto add = [&errors](const std::vector<SettingError>& more) {
@@ -152,7 +152,7 @@
     return false;
   }
   if (!FLAGS_check) return true;
-  std::cerr << "settings are fine\n";
+  std::cerr << "settings are valid\n";
   *exit = 0;
   return false;
 }
--- a/src/yuccawick/daemon/settings.h
+++ b/src/yuccawick/daemon/settings.h
@@ -1,8 +1,8 @@
-// Settings of the daemons: flags and environment variables, checked in whole.
+// Settings of the daemons: command-line flags and environment variables.
 //
-// Every flag --some-name has the environment variable YUCCAWICK_SOME_NAME; the
-// command line goes first. At start every fault is listed before the process
-// refuses to run; --check does only that.
+// Every flag --some_name can also be set by the environment variable
+// YUCCAWICK_SOME_NAME; the command line takes precedence. At startup all errors
+// are printed before the process exits; --check only validates.
 #pragma once
 
 #include <cstdint>
@@ -13,20 +13,20 @@
 namespace yuccawick::daemon {
 
 enum class SettingFault : std::uint8_t {
-  kUnknownVariable,  // YUCCAWICK_... that names no flag
+  kUnknownVariable,  // YUCCAWICK_... without a matching flag
   kBadValue,         // not of the flag's type
-  kMissing,          // required and empty
-  kOutOfRange,       // number outside its bounds
+  kMissing,          // required but empty
+  kOutOfRange,       // outside its valid range
   kNotAName,         // not [a-z0-9-]{1,63}
   kNotAnEndpoint,    // not host:port
-  kContradiction,    // two settings that exclude each other
+  kContradiction,    // conflicts with another setting
 };
 std::string Name(SettingFault fault);
 
 struct SettingError {
   SettingFault fault;
   std::string  setting;  // flag name
-  std::string  detail;   // what would be right
+  std::string  detail;   // expected value or reason
 };
 
 enum class SettingKind : std::uint8_t { kName, kEndpoint, kNumber, kChoice };
@@ -40,17 +40,18 @@
   std::vector<std::string> choices{};  // of a choice
 };
 
-// Takes environment variables into flags that the command line left alone;
-// `environment` is a list of NAME=value.
+// Sets flags that are not on the command line from `environment`, a list of
+// NAME=value strings.
 std::vector<SettingError> ApplyEnvironment(
     const std::vector<std::string>& environment);
 
-// Checks the present value of each flag against its rule.
+// Checks the current value of each flag against its rule.
 std::vector<SettingError> CheckFlags(const std::vector<SettingRule>& rules);
 
-// Parses, applies the environment, checks by the rules and by `extra`. Lists
-// faults on standard error. Returns true if the daemon may start; sets `*exit`
-// to the code to leave with otherwise (0 after --check without faults).
+// Parses the command line, applies the environment and runs all checks,
+// including `extra`. Prints every error to standard error. Returns true if the
+// daemon may start; otherwise `*exit` is the exit code (0 after --check without
+// errors).
 using ExtraCheck = std::function<std::vector<SettingError>()>;
 bool LoadSettings(int* argc, char*** argv,
                   const std::vector<SettingRule>& rules,
--- a/src/yuccawick/daemon/status_server.cc
+++ b/src/yuccawick/daemon/status_server.cc
@@ -15,14 +15,14 @@
 namespace {
 
 constexpr int kMicrosPerMilli = 1000;
-constexpr int kBacklog = 256;
-constexpr int kQueued = 256;
+constexpr int kBacklog = 256;  // pending connections
+constexpr int kMaxQueuedConnections = 256;
 constexpr int kSpareThreads = 2;
-constexpr int kIdleSeconds = 60;
+constexpr int kIdleThreadSeconds = 60;
 
 using Poco::Net::HTTPResponse;
 
-// A page whose text is made when it is asked for.
+// Serves a text that is generated per request; 503 if it is empty.
 class PageHandler : public Poco::Net::HTTPRequestHandler {
  public:
   PageHandler(std::string type, std::function<std::string()> text)
@@ -31,9 +31,10 @@
   void handleRequest(Poco::Net::HTTPServerRequest& /*request*/,
                      Poco::Net::HTTPServerResponse& response) override {
     const std::string text = m_text();
-    const bool        alive = !text.empty();
-    response.setStatusAndReason(alive ? HTTPResponse::HTTP_OK
-                                      : HTTPResponse::HTTP_SERVICE_UNAVAILABLE);
+    const bool        available = !text.empty();
+    response.setStatusAndReason(available
+                                    ? HTTPResponse::HTTP_OK
+                                    : HTTPResponse::HTTP_SERVICE_UNAVAILABLE);
     response.setContentType(m_type);
     response.sendBuffer(text.data(), text.size());
   }
@@ -43,10 +44,11 @@
   std::function<std::string()> m_text;
 };
 
-class Pages : public Poco::Net::HTTPRequestHandlerFactory {
+// Routes the built-in pages; other paths go to the daemon's factory.
+class RequestRouter : public Poco::Net::HTTPRequestHandlerFactory {
  public:
-  Pages(const Metrics& metrics, StatusServer::StatusText status,
-        StatusServer::Factory factory)
+  RequestRouter(const Metrics& metrics, StatusServer::StatusText status,
+                StatusServer::Factory factory)
       : m_metrics(metrics),
         m_status(std::move(status)),
         m_factory(std::move(factory)) {}
@@ -86,16 +88,16 @@
   m_port = socket.address().port();
   auto* params = new Poco::Net::HTTPServerParams;
   params->setMaxThreads(settings.threads);
-  params->setMaxQueued(kQueued);
+  params->setMaxQueued(kMaxQueuedConnections);
   params->setKeepAlive(true);
   params->setTimeout(Poco::Timespan(
       static_cast<Poco::Timespan::TimeDiff>(settings.client_timeout_ms) *
       kMicrosPerMilli));
   auto pool = new Poco::ThreadPool(
-      kSpareThreads, settings.threads + kSpareThreads, kIdleSeconds);
+      kSpareThreads, settings.threads + kSpareThreads, kIdleThreadSeconds);
   m_server = std::make_unique<Poco::Net::HTTPServer>(
-      new Pages(metrics, std::move(status), std::move(factory)), *pool, socket,
-      params);
+      new RequestRouter(metrics, std::move(status), std::move(factory)), *pool,
+      socket, params);
 }
 
 StatusServer::~StatusServer() = default;
--- a/src/yuccawick/daemon/status_server.h
+++ b/src/yuccawick/daemon/status_server.h
@@ -1,5 +1,5 @@
-// The HTTP server of a daemon: /healthz, /status, /metrics, and whatever the
-// daemon serves beside them.
+// HTTP server of a daemon: /healthz, /status, /metrics and the daemon's own
+// paths.
 #pragma once
 
 #include <Poco/Net/HTTPRequestHandler.h>
@@ -17,13 +17,13 @@
 struct HttpServerSettings {
   std::string host;
   int         port = 0;
-  int         threads = 8;                // requests served at once
-  int         client_timeout_ms = 10000;  // for a client to send or read on
+  int         threads = 8;  // maximum number of concurrent requests
+  int         client_timeout_ms = 10000;  // longest stall of a client
 };
 
 class StatusServer {
  public:
-  // Makes a handler for a path of the daemon's own, null for none.
+  // Creates a handler for one of the daemon's own paths; null for none.
   using Factory = std::function<Poco::Net::HTTPRequestHandler*(
       const Poco::Net::HTTPServerRequest& request)>;
   using StatusText = std::function<std::string()>;
@@ -35,7 +35,7 @@
   StatusServer& operator=(const StatusServer&) = delete;
 
   void Start();
-  // Takes no more connections and lets those under way finish.
+  // Stops accepting connections; requests in flight finish.
   void Stop();
   int  port() const;
 
--- a/src/yuccawick/daemon/telemetry.cc
+++ b/src/yuccawick/daemon/telemetry.cc
@@ -52,8 +52,11 @@
   return out.str();
 }
 
-JsonLog::JsonLog(core::NodeRef self, std::string zone, core::Severity least)
-    : m_self(std::move(self)), m_zone(std::move(zone)), m_least(least) {
+JsonLog::JsonLog(core::NodeRef self, std::string zone,
+                 core::Severity min_severity)
+    : m_self(std::move(self)),
+      m_zone(std::move(zone)),
+      m_min_severity(min_severity) {
   namespace expr = boost::log::expressions;
   boost::log::core::get()->remove_all_sinks();
   boost::log::add_console_log(
@@ -62,7 +65,7 @@
 }
 
 void JsonLog::Write(const core::LogLine& line) {
-  if (line.severity < m_least) return;
+  if (line.severity < m_min_severity) return;
   static boost::log::sources::logger_mt logger;
   BOOST_LOG(logger) << FormatLine(line, m_self, m_zone, Now());
 }
@@ -75,22 +78,23 @@
                          .Help("Number of " + name + " by label")
                          .Register(*m_registry);
   }
-  // Every reason is there from the start, so that an alert on it never meets a
-  // missing series.
+  // Registers every reason at startup, so that alerts never meet a missing
+  // series.
   for (const auto& reason : core::ReasonTable()) {
     Add({core::Counter::kRefusals, reason.name, 0});
     Add({core::Counter::kRetries, reason.name, 0});
   }
-  m_calls = &prometheus::BuildHistogram()
-                 .Name("yuccawick_call_seconds")
-                 .Help("From a caller's request to its whole answer")
-                 .Register(*m_registry)
-                 .Add({}, kSeconds);
-  m_first_tokens = &prometheus::BuildHistogram()
-                        .Name("yuccawick_first_token_seconds")
-                        .Help("From a caller's request to the first text")
+  m_call_seconds = &prometheus::BuildHistogram()
+                        .Name("yuccawick_call_seconds")
+                        .Help("From a caller's request to its whole answer")
                         .Register(*m_registry)
                         .Add({}, kSeconds);
+  m_first_token_seconds =
+      &prometheus::BuildHistogram()
+           .Name("yuccawick_first_token_seconds")
+           .Help("From a caller's request to the first text")
+           .Register(*m_registry)
+           .Add({}, kSeconds);
 }
 
 void Metrics::Add(const core::Count& count) {
@@ -99,10 +103,10 @@
       .Increment(static_cast<double>(count.amount));
 }
 
-void Metrics::ObserveCall(double seconds) { m_calls->Observe(seconds); }
+void Metrics::ObserveCall(double seconds) { m_call_seconds->Observe(seconds); }
 
 void Metrics::ObserveFirstToken(double seconds) {
-  m_first_tokens->Observe(seconds);
+  m_first_token_seconds->Observe(seconds);
 }
 
 std::string Metrics::Text() const {
--- a/src/yuccawick/daemon/telemetry.h
+++ b/src/yuccawick/daemon/telemetry.h
@@ -1,8 +1,8 @@
-// Logs and metrics of a daemon.
+// Log and metrics of a daemon.
 //
-// Logs are JSON lines on standard error, by Boost.Log. Metrics are counters of
-// prometheus-cpp, one for each refusal and retry reason; their labels come from
-// the table of core/failure.h, so none can be forgotten.
+// The log is written as JSON lines to standard error through Boost.Log. Metrics
+// are prometheus-cpp counters and histograms, with a counter for every refusal
+// and retry reason of core/failure.h.
 #pragma once
 
 #include <prometheus/counter.h>
@@ -21,16 +21,16 @@
 
 class JsonLog {
  public:
-  JsonLog(core::NodeRef self, std::string zone, core::Severity least);
+  JsonLog(core::NodeRef self, std::string zone, core::Severity min_severity);
   void Write(const core::LogLine& line);
 
  private:
   core::NodeRef  m_self;
   std::string    m_zone;
-  core::Severity m_least;
+  core::Severity m_min_severity;
 };
 
-// The line as it is written, without its end. Time is ms since the epoch.
+// Formats a log line without its newline. `now` is ms since the epoch.
 std::string FormatLine(const core::LogLine& line, const core::NodeRef& self,
                        const std::string& zone, core::Time now);
 
@@ -40,15 +40,15 @@
   void        Add(const core::Count& count);
   void        ObserveCall(double seconds);
   void        ObserveFirstToken(double seconds);
-  // All of them in Prometheus' text format.
+  // All metrics in the Prometheus text format.
   std::string Text() const;
 
  private:
   using CounterFamily = prometheus::Family<prometheus::Counter>;
   std::shared_ptr<prometheus::Registry>           m_registry;
   std::array<CounterFamily*, core::kCounterCount> m_counters{};
-  prometheus::Histogram*                          m_calls = nullptr;
-  prometheus::Histogram*                          m_first_tokens = nullptr;
+  prometheus::Histogram*                          m_call_seconds = nullptr;
+  prometheus::Histogram* m_first_token_seconds = nullptr;
 };
 
 }  // namespace yuccawick::daemon
--- a/src/yuccawick/daemon/worker_pool.cc
+++ b/src/yuccawick/daemon/worker_pool.cc
@@ -6,7 +6,7 @@
 
 WorkerPool::WorkerPool(std::size_t threads) {
   for (std::size_t i = 0; i < threads; ++i)
-    m_threads.emplace_back([this] { Work(); });
+    m_threads.emplace_back([this] { RunJobs(); });
 }
 
 WorkerPool::~WorkerPool() {
@@ -26,7 +26,7 @@
   m_added.notify_one();
 }
 
-void WorkerPool::Work() {
+void WorkerPool::RunJobs() {
   while (true) {
     Job job;
     {
--- a/src/yuccawick/daemon/worker_pool.h
+++ b/src/yuccawick/daemon/worker_pool.h
@@ -1,4 +1,4 @@
-// A few threads that carry out jobs in the order given.
+// A fixed-size thread pool that starts jobs in FIFO order.
 #pragma once
 
 #include <condition_variable>
@@ -15,7 +15,7 @@
   using Job = std::function<void()>;
 
   explicit WorkerPool(std::size_t threads);
-  // Waits for the jobs under way; drops those not begun.
+  // Waits for running jobs; discards queued ones.
   ~WorkerPool();
   WorkerPool(const WorkerPool&) = delete;
   WorkerPool& operator=(const WorkerPool&) = delete;
@@ -23,7 +23,7 @@
   void Add(Job job);
 
  private:
-  void Work();
+  void RunJobs();
 
   std::mutex               m_mutex;
   std::condition_variable  m_added;
--- a/tests/process_test.cc
+++ b/tests/process_test.cc
@@ -1,5 +1,5 @@
-// Proofs against the real daemons as processes on loopback. They wait for what
-// processes write and for callers' answers, never by time.
+// Tests of the real daemons as processes on loopback. They synchronize on
+// process output and answers to callers, not on time.
 #include <Poco/Net/SocketAddress.h>
 #include <Poco/Net/StreamSocket.h>
 #include <criterion/criterion.h>
@@ -23,7 +23,7 @@
 
 std::string Contract() { return Programs() + "/../contracts/sakhli.json"; }
 
-// Three model agents in three zones, two desk agents, two entries.
+// Three model agents in three zones, two service agents, two entries.
 struct Running {
   Running() : group(Programs()) {
     group.StartPlatform();
@@ -45,10 +45,10 @@
       ready = ready && group.WaitUntilReady(entry);
   }
 
-  int Bookings(const std::string& program, int sequence) {
+  int CountBookings(const std::string& program, int sequence) {
     int total = 0;
-    for (const auto* desk : {"desk-1", "desk-2"}) {
-      const auto calls = group.Effects(desk).json->getObject("calls");
+    for (const auto* vm : {"desk-1", "desk-2"}) {
+      const auto calls = group.Effects(vm).json->getObject("calls");
       total +=
           calls->optValue<int>(program + "/" + std::to_string(sequence), 0);
     }
@@ -59,46 +59,46 @@
   bool         ready = false;
 };
 
-std::string HomeOf(const std::string& program) {
+std::string CoordinatorOf(const std::string& program) {
   return program.substr(0, program.find('.'));
 }
 
-Test(Processes, HomeKilledThenBookingAskedAgain_IsBookedOnce) {
-  // The caller sees its booking confirmed once. The home is killed by SIGKILL;
-  // a replica claims it on the log and serves the program with its history.
+Test(Processes, CoordinatorKilledThenServiceCalled_RunsOnce) {
+  // Guards against a repeated service call after a crash: a replica must claim
+  // the program of the killed coordinator and serve it with its history.
   Running r;
   cr_assert(r.ready);
   Caller caller(r.group, kEntries, "sakhli", "household-1");
   cr_assert(caller.Start(kModel));
   cr_assert_eq(caller.Model(kModel, "a slot").status, 200);
-  r.group.node(HomeOf(caller.program())).Signal(SIGKILL);
-  const Answer booked = caller.Service("booking", "friday 9");
-  cr_assert_eq(booked.status, 200, "%s", booked.body.c_str());
-  cr_assert_eq(r.Bookings(caller.program(), 2), 1);
+  r.group.node(CoordinatorOf(caller.program())).Signal(SIGKILL);
+  const Answer booking = caller.Service("booking", "friday 9");
+  cr_assert_eq(booking.status, 200, "%s", booking.body.c_str());
+  cr_assert_eq(r.CountBookings(caller.program(), 2), 1);
   const Answer history = caller.History();
   cr_assert_eq(history.json->getArray("turns")->size(), 2);
 }
 
-Test(Processes, FrozenHomeWakesAfterTakeover_EndsItself) {
-  // The caller sees every call answered once. The home is stopped by SIGSTOP
-  // past every timeout; when it wakes it finds itself claimed and ends.
+Test(Processes, PausedCoordinatorResumesAfterTakeover_Exits) {
+  // Guards against a paused coordinator that goes on after a takeover: once
+  // resumed, it must find its programs claimed and exit.
   Running r;
   cr_assert(r.ready);
   Caller caller(r.group, kEntries, "sakhli", "household-2");
   cr_assert(caller.Start(kModel));
   cr_assert_eq(caller.Model(kModel, "a slot").status, 200);
-  auto& home = r.group.node(HomeOf(caller.program()));
-  home.Signal(SIGSTOP);
+  auto& coordinator = r.group.node(CoordinatorOf(caller.program()));
+  coordinator.Signal(SIGSTOP);
   cr_assert_eq(caller.Service("booking", "friday 9").status, 200);
-  home.Signal(SIGCONT);
-  cr_assert_eq(home.Wait(), 3);
-  cr_assert_eq(r.Bookings(caller.program(), 2), 1);
+  coordinator.Signal(SIGCONT);
+  cr_assert_eq(coordinator.Wait(), 3);
+  cr_assert_eq(r.CountBookings(caller.program(), 2), 1);
   cr_assert_eq(caller.Model(kModel, "confirm").status, 200);
 }
 
-Test(Processes, LogOutage_ProgramsGoOnAndOperatorIsRefused) {
-  // The caller is answered through the outage; the operator is told that its
-  // amendment did not happen, and succeeds afterwards.
+Test(Processes, LogOutage_ProgramsContinueAndPublishIsRefused) {
+  // Guards against programs that stop during a log outage, and against a
+  // publish that fails without saying that it did not happen.
   Running r;
   cr_assert(r.ready);
   Caller caller(r.group, kEntries, "sakhli", "household-3");
@@ -117,9 +117,9 @@
   cr_assert_eq(caller.End().status, 200);
 }
 
-Test(Processes, SigtermOfEveryProcessInTurn_LosesNothing) {
-  // The caller sees all its calls answered while each process is stopped by
-  // SIGTERM and started again. Each ends with code 0.
+Test(Processes, RollingSigterm_LosesNothing) {
+  // Guards against calls lost or repeated while each process is stopped by
+  // SIGTERM and restarted.
   Running r;
   cr_assert(r.ready);
   Caller caller(r.group, kEntries, "sakhli", "household-4");
@@ -128,9 +128,9 @@
   for (const auto* vm :
        {"model-1", "desk-1", "model-2", "desk-2", "model-3", "entry-1"}) {
     r.group.node(vm).Signal(SIGTERM);
-    const Answer booked = caller.Service("booking", "slot");
-    cr_assert_eq(booked.status, 200, "%s: %s", vm, booked.body.c_str());
-    cr_assert_eq(r.Bookings(caller.program(), ++bookings), 1);
+    const Answer booking = caller.Service("booking", "slot");
+    cr_assert_eq(booking.status, 200, "%s: %s", vm, booking.body.c_str());
+    cr_assert_eq(r.CountBookings(caller.program(), ++bookings), 1);
     cr_assert_eq(r.group.node(vm).Wait(), 0, "%s", vm);
     r.group.Restart(vm);
     cr_assert(r.group.WaitUntilReady(vm), "%s", vm);
@@ -146,9 +146,9 @@
           {"X-Yuccawick-Sequence", sequence}};
 }
 
-Test(Processes, BadInput_IsATypedErrorEachAndNothingIsLost) {
-  // The callers of bad requests see a typed error each; the program goes on,
-  // and no process ends.
+Test(Processes, InvalidInput_GetsTypedErrorsAndProgramContinues) {
+  // Guards against invalid requests that crash a process, change a program or
+  // get an untyped error.
   Running r;
   cr_assert(r.ready);
   Caller caller(r.group, kEntries, "sakhli", "household-5");
@@ -188,7 +188,7 @@
   cr_assert_eq(r.group.Get(entry, "/healthz").status, 200);
 }
 
-// Sends raw bytes, closes the sending half, and returns what comes back.
+// Sends raw bytes, shuts down the sending side and returns the answer.
 std::string SendAndHalfClose(const std::string& address,
                              const std::string& bytes) {
   Poco::Net::StreamSocket socket{Poco::Net::SocketAddress(address)};
@@ -202,9 +202,9 @@
   return answer;
 }
 
-Test(Processes, ClientClosesHalfway_TypedErrorAndNothingRuns) {
-  // The client that stops in the middle of its body gets slow_client; one that
-  // closes its sending half after a whole request gets its answer.
+Test(Processes, ClientClosesMidRequest_GetsTypedError) {
+  // Guards against a truncated body that is acted upon, and against an answer
+  // that is dropped when the client half-closes after a whole request.
   Running r;
   cr_assert(r.ready);
   const std::string entry = r.group.HttpOf("entry-1");
@@ -219,9 +219,9 @@
   cr_assert_neq(whole.find("201"), std::string::npos, "%s", whole.c_str());
 }
 
-Test(Processes, ClientStallsHalfway_TypedErrorAfterItsTimeout) {
-  // The client that stops sending without closing gets slow_client once the
-  // entry's client timeout has passed; another caller is served meanwhile.
+Test(Processes, ClientStallsMidRequest_GetsTypedErrorAfterTimeout) {
+  // Guards against a stalled client that holds its connection forever or blocks
+  // other callers.
   Running r;
   cr_assert(r.ready);
   Poco::Net::StreamSocket stalled{
@@ -239,9 +239,9 @@
   cr_assert_neq(answer.find("408"), std::string::npos, "%s", answer.c_str());
 }
 
-Test(Processes, CallerCutsItsStreamAndAsksAgain_GetsTheWholeAnswer) {
-  // The caller's connection is cut after the first text. It asks again through
-  // the other entry and gets the whole answer; the history has one turn.
+Test(Processes, StreamCutThenRetried_GetsWholeAnswer) {
+  // Guards against a turn that is lost or repeated when a stream is cut and the
+  // request retried through another entry.
   Running r;
   cr_assert(r.ready);
   Caller caller(r.group, kEntries, "sakhli", "household-9");
@@ -268,7 +268,7 @@
   cr_assert_eq(caller.History().json->getArray("turns")->size(), 1);
 }
 
-Test(Processes, StreamedAnswer_IsWholeAndMetricsCountIt) {
+Test(Processes, StreamedAnswer_MatchesHistoryAndMetricsExist) {
   Running r;
   cr_assert(r.ready);
   Caller caller(r.group, kEntries, "sakhli", "household-7");
@@ -293,7 +293,7 @@
     cr_assert_neq(metrics.body.find(name), std::string::npos, "%s", name);
 }
 
-Test(Processes, BadSettings_AreAllListedAndNothingStarts) {
+Test(Processes, InvalidSettings_AreAllListedAndProcessExits) {
   Process agent(Programs() + "/yw-agent", {"--vm=Bad_Name", "--suspect_ms=200",
                                            "--kind=tool", "--listen=nowhere"});
   cr_assert_eq(agent.Wait(), 2);
--- a/tests/stop_test.cc
+++ b/tests/stop_test.cc
@@ -1,5 +1,5 @@
-// 8. A backend server that is leaving receives no new work after a few seconds.
-// 9. Every planned stop is graceful: it cuts off no request in flight.
+// Planned stops: a leaving server gets no new work after a few seconds, and no
+// request in flight is cut off.
 #include <criterion/criterion.h>
 
 #include "fixture.h"
@@ -19,7 +19,7 @@
   return list;
 }
 
-bool LeavingDeskGetsNothing(Safeguards safeguards) {
+bool LeavingServerGetsNothing(Safeguards safeguards) {
   SmallGroup s(safeguards);
   s.group.SetVmList(ListWithLeaving(kDesk1));
   s.group.Advance(kFewSeconds);
@@ -31,18 +31,16 @@
   return s.group.backend(kDesk1).order().size() == before;
 }
 
-Test(Leaving, ServerListedAsLeaving_GetsNothingNew) {
-  // Callers see their calls served by the other server. The platform's list
-  // says that one is leaving; after a few seconds nobody sends it work.
-  cr_assert_not(LeavingDeskGetsNothing(
+Test(Leaving, ServerListedAsLeaving_GetsNoNewWork) {
+  // Guards against work sent to a server that the VM list reports as leaving.
+  cr_assert_not(LeavingServerGetsNothing(
       Safeguards::Without(Safeguard::kLeavingStopsWork)));
-  cr_assert(LeavingDeskGetsNothing(Safeguards::All()));
+  cr_assert(LeavingServerGetsNothing(Safeguards::All()));
 }
 
-Test(Leaving, ListLagsAndEntryIsCutFromHalfItsPeers_GetsNothingNew) {
-  // Callers see their programs started elsewhere. The list has not heard of the
-  // drain and the entry cannot reach the leaving node; the control stream tells
-  // it all the same.
+Test(Leaving, StaleListAndPartitionedEntry_LeavingNodeGetsNoNewWork) {
+  // Guards against an entry that relies on a stale VM list: the control stream
+  // must tell it that an unreachable node is leaving.
   SmallGroup s;
   s.group.SetVmList(ListWithLeaving(""));
   s.group.Cut("entry-a", kHomeA);
@@ -54,32 +52,33 @@
   for (int i = 0; i < 20; ++i) cr_assert_neq(s.Start().origin.vm, kHomeA);
 }
 
-bool StoppedDeskFinishesItsCall(Safeguards safeguards) {
+bool StoppedAgentFinishesItsCall(Safeguards safeguards) {
   SmallGroup s(safeguards);
   s.Start();
-  for (const auto& desk : {kDesk1, kDesk2}) s.group.backend(desk).Hold(true);
+  for (const auto& server : {kDesk1, kDesk2})
+    s.group.backend(server).Hold(true);
   const auto request =
       s.group.Call("entry-a", s.group.ServiceCall(s.program, 1, "friday 9"));
   s.group.AdvanceUntil([&] { return !s.DeskOf(1).empty(); }, kFewSeconds);
   s.group.Stop(s.DeskOf(1));
   s.group.Advance(1000);
-  for (const auto& desk : {kDesk1, kDesk2}) s.group.backend(desk).Hold(false);
+  for (const auto& server : {kDesk1, kDesk2})
+    s.group.backend(server).Hold(false);
   s.group.AdvanceUntil([&] { return s.group.IsAnswered(request); }, kLong);
   return std::get<core::CallReply>(*s.group.AnswerTo(request)).ok;
 }
 
-Test(PlannedStop, DeskAgentWithCallInFlight_FinishesIt) {
-  // The caller sees its booking confirmed. The desk's agent is told to stop
-  // while the desk works; it waits for the answer and passes it on first.
-  cr_assert_not(StoppedDeskFinishesItsCall(
+Test(PlannedStop, ServiceAgentWithCallInFlight_FinishesIt) {
+  // Guards against an agent that stops before its call in flight has ended and
+  // its answer has been delivered.
+  cr_assert_not(StoppedAgentFinishesItsCall(
       Safeguards::Without(Safeguard::kDrainInFlight)));
-  cr_assert(StoppedDeskFinishesItsCall(Safeguards::All()));
+  cr_assert(StoppedAgentFinishesItsCall(Safeguards::All()));
 }
 
-Test(PlannedStop, HomeWithCallInFlight_AnswersThenHandsOver) {
-  // The caller sees its answer, and its next call served by the new home within
-  // a second or two. The home answers what it has accepted, then gives its
-  // programs to the replica by a claim it appends itself.
+Test(PlannedStop, CoordinatorWithCallInFlight_AnswersThenHandsOver) {
+  // Guards against a coordinator that stops without answering accepted calls or
+  // without handing its programs to a replica.
   SmallGroup s;
   s.Start();
   const auto request =
@@ -109,7 +108,7 @@
   cr_assert_not(s.group.IsRunning("entry-a"));
 }
 
-Test(PlannedStop, EntryAndHomeAtOnce_CutOffNothing) {
+Test(PlannedStop, EntryAndCoordinatorTogether_NoCallIsCutOff) {
   SmallGroup s;
   s.Start();
   const auto request =
@@ -121,9 +120,9 @@
   cr_assert(std::get<core::CallReply>(*s.group.AnswerTo(request)).ok);
 }
 
-Test(PlannedStop, EveryProcessReplacedInTurn_NoProgramIsLost) {
-  // Callers see every call answered in order and every booking made once, while
-  // each process is stopped and started again, one after the other.
+Test(PlannedStop, RollingRestart_NoProgramIsLost) {
+  // Guards against programs lost or service calls repeated during a rolling
+  // restart of all nodes.
   SmallGroup                   s;
   std::vector<core::ProgramId> programs;
   programs.reserve(12);
