--- a/src/yuccawick/cli/contract_file.cc
+++ b/src/yuccawick/cli/contract_file.cc
@@ -17,7 +17,8 @@
 constexpr std::array<std::string_view, 5> kFaultNames{
     "not_json", "unknown_key", "missing_key", "wrong_type", "invalid"};
 
-// Where a number of the file goes, and in what unit.
+// A numeric key of the file, the member it sets, and the factor from the file's
+// unit to the member's.
 struct NumberKey {
   const char*  key;
   std::int64_t core::Contract::*member;
@@ -47,7 +48,7 @@
 
 using Errors = std::vector<FileError>;
 
-void TakeNumber(const Object& json, const char* key, std::int64_t unit,
+void ReadNumber(const Object& json, const char* key, std::int64_t unit,
                 std::int64_t* value, Errors* errors) {
   if (!json.has(key)) {
     errors->push_back({FileFault::kMissingKey, key, ""});
@@ -61,15 +62,15 @@
   *value = found.convert<std::int64_t>() * unit;
 }
 
-void TakeText(const Object& json, const char* key, std::string* value,
-              Errors* errors) {
+void ReadString(const Object& json, const char* key, std::string* value,
+                Errors* errors) {
   if (!json.has(key)) {
     errors->push_back({FileFault::kMissingKey, key, ""});
     return;
   }
   const auto found = json.get(key);
   if (!found.isString()) {
-    errors->push_back({FileFault::kWrongType, key, "want a text"});
+    errors->push_back({FileFault::kWrongType, key, "want a string"});
     return;
   }
   *value = found.convert<std::string>();
@@ -98,7 +99,7 @@
   return false;
 }
 
-void TakeClasses(const Object& json, core::Contract* contract, Errors* errors) {
+void ReadClasses(const Object& json, core::Contract* contract, Errors* errors) {
   if (!json.isArray(kClasses)) {
     errors->push_back({FileFault::kMissingKey, kClasses, "want a list"});
     return;
@@ -112,9 +113,9 @@
     const auto         item = classes->getObject(i);
     core::ServiceClass service;
     CheckKeys(*item, IsClassKey, errors);
-    TakeText(*item, kClassName, &service.name, errors);
+    ReadString(*item, kClassName, &service.name, errors);
     for (const auto& number : kClassNumbers)
-      TakeNumber(*item, number.key, 1, &(service.*number.member), errors);
+      ReadNumber(*item, number.key, 1, &(service.*number.member), errors);
     contract->classes.push_back(service);
   }
 }
@@ -137,12 +138,12 @@
   }
   core::Contract contract;
   CheckKeys(*json, IsContractKey, &errors);
-  TakeText(*json, kCustomer, &contract.customer, &errors);
+  ReadString(*json, kCustomer, &contract.customer, &errors);
   for (const auto& number : kNumbers) {
-    TakeNumber(*json, number.key, number.unit, &(contract.*number.member),
+    ReadNumber(*json, number.key, number.unit, &(contract.*number.member),
                &errors);
   }
-  TakeClasses(*json, &contract, &errors);
+  ReadClasses(*json, &contract, &errors);
   if (!errors.empty()) return tl::make_unexpected(errors);
   for (const auto fault : core::Validate(contract)) {
     errors.push_back({FileFault::kInvalid, "", std::string(core::Name(fault))});
--- a/src/yuccawick/cli/contract_file.h
+++ b/src/yuccawick/cli/contract_file.h
@@ -1,7 +1,7 @@
-// Contracts as operators write them: a JSON file.
+// Contract files: JSON files in which operators write customers' contracts.
 //
-// Every key must be known and of the right type, and the whole must be a valid
-// contract; all faults are reported at once.
+// Parsing requires every key to be known, present and of the right type, and
+// the contract as a whole to be valid. It returns all errors at once.
 #pragma once
 
 #include <string>
@@ -14,10 +14,10 @@
 
 enum class FileFault : std::uint8_t {
   kNotJson,     // not a JSON object
-  kUnknownKey,  // a key that contracts do not have
-  kMissingKey,  // a key that every contract has
-  kWrongType,   // a value of another type
-  kInvalid,     // the contract as a whole; `detail` is a ContractFault
+  kUnknownKey,  // not a key of a contract
+  kMissingKey,  // a required key is absent
+  kWrongType,   // a value has the wrong type
+  kInvalid,     // the contract is not valid; `detail` names the ContractFault
 };
 std::string_view Name(FileFault fault);
 
--- a/src/yuccawick/cli/explain.cc
+++ b/src/yuccawick/cli/explain.cc
@@ -15,9 +15,9 @@
 
 using Poco::JSON::Object;
 
-// What a node learned this long before a request may have decided for it, in
-// ms: the longest memory of a failure in placement and in the peers' view.
-constexpr std::int64_t kBefore = 3000;
+// Events of a node up to this long before a request may explain the result, in
+// ms. Covers the time for which placement and peers remember a failure.
+constexpr std::int64_t kLookbackMs = 3000;
 
 struct Line {
   std::int64_t time = 0;
@@ -30,12 +30,13 @@
   }
 };
 
-// The node's own events that may explain what it did to a request.
-bool IsNews(const std::string& event) {
-  constexpr std::array<std::string_view, 9> kNews{
+// Events of the node itself that may explain how it treated a request.
+bool IsNodeEvent(const std::string& event) {
+  constexpr std::array<std::string_view, 9> kNodeEvents{
       "log_lost", "log_back", "manifest", "servers", "peer",
       "started",  "stopping", "settings", "dropped"};
-  return std::find(kNews.begin(), kNews.end(), event) != kNews.end();
+  return std::find(kNodeEvents.begin(), kNodeEvents.end(), event) !=
+         kNodeEvents.end();
 }
 
 std::optional<Line> ReadLine(const std::string& text) {
@@ -50,7 +51,7 @@
     line.node = line.fields->getValue<std::string>("node");
     return line;
   } catch (const Poco::Exception&) {
-    // Logs of other programs, or a line that a crash cut off.
+    // Output of another program, or a line truncated by a crash.
     return std::nullopt;
   }
 }
@@ -68,7 +69,7 @@
   return lines;
 }
 
-// The requests that the id names, itself or as their program.
+// The request with this id, or all requests of the program with this id.
 std::set<std::string> RequestsOf(const std::vector<Line>& lines,
                                  const std::string&       id) {
   std::set<std::string> requests;
@@ -86,7 +87,7 @@
   std::int64_t to = 0;
 };
 
-std::string Tell(const Line& line, std::int64_t start) {
+std::string FormatEvent(const Line& line, std::int64_t start) {
   std::string text = std::to_string(line.time - start) + " ms  " + line.node +
                      "  " + line.event;
   for (const auto& [name, value] : *line.fields) {
@@ -101,13 +102,14 @@
 
 std::string_view Name(ExplainFault /*fault*/) { return "not_found"; }
 
-tl::expected<Story, ExplainFault> Explain(std::istream&      logs,
-                                          const std::string& id) {
+tl::expected<Timeline, ExplainFault> Explain(std::istream&      logs,
+                                             const std::string& id) {
   const std::vector<Line>     lines = ReadLines(logs);
   const std::set<std::string> requests = RequestsOf(lines, id);
   std::set<std::string>       programs;
   std::set<std::string>       nodes;
-  std::set<std::string>       homes;  // that had no room for the program
+  // Coordinators that refused the program for lack of capacity.
+  std::set<std::string>       coordinators;
   std::optional<Window>       window;
   for (const Line& line : lines) {
     if (!requests.contains(line.Text("request"))) continue;
@@ -116,23 +118,26 @@
     nodes.insert(line.node);
     if (!line.Text("program").empty()) programs.insert(line.Text("program"));
     if (line.Text("reason") == "no_room") {
-      const std::string home = line.Text("tokens_counted_by");
-      homes.insert(home.empty() ? line.node : home);
+      const std::string coordinator = line.Text("tokens_counted_by");
+      coordinators.insert(coordinator.empty() ? line.node : coordinator);
     }
   }
   if (!window) return tl::unexpected(ExplainFault::kNotFound);
-  Story story;
+  Timeline timeline;
   for (const Line& line : lines) {
-    const bool near =
-        line.time >= window->from - kBefore && line.time <= window->to;
+    const bool in_window =
+        line.time >= window->from - kLookbackMs && line.time <= window->to;
     const bool own = requests.contains(line.Text("request"));
-    const bool claim = near && line.event == "claim" &&
+    const bool claim = in_window && line.event == "claim" &&
                        programs.contains(line.Text("program"));
-    const bool news = near && IsNews(line.event) && nodes.contains(line.node);
-    const bool room = near && line.event == "room" && homes.contains(line.node);
-    if (own || claim || news || room) story.push_back(Tell(line, window->from));
+    const bool node_event =
+        in_window && IsNodeEvent(line.event) && nodes.contains(line.node);
+    const bool capacity =
+        in_window && line.event == "room" && coordinators.contains(line.node);
+    if (own || claim || node_event || capacity)
+      timeline.push_back(FormatEvent(line, window->from));
   }
-  return story;
+  return timeline;
 }
 
 }  // namespace yuccawick::cli
--- a/src/yuccawick/cli/explain.h
+++ b/src/yuccawick/cli/explain.h
@@ -1,9 +1,10 @@
-// Tells one request's or program's story from the logs of the gateways.
+// Reconstructs the timeline of one request or program from gateway logs.
 //
-// Feed it the log lines of all nodes, in any order; lines that are no JSON, or
-// come after a prefix that a collector adds, are coped with. The story holds
-// the request's own lines, the token claims of its program, and what the node
-// that took it learned shortly before: a lost log, a manifest, servers, peers.
+// The input holds the log lines of all nodes in any order; a collector's prefix
+// before the JSON is skipped, and other lines are ignored. The timeline holds
+// the request's own lines, the token claims of its program, and the events
+// shortly before that may explain the result: log outages, manifests, changes
+// of servers and peers.
 #pragma once
 
 #include <iosfwd>
@@ -18,10 +19,10 @@
 };
 std::string_view Name(ExplainFault fault);
 
-// One line each, oldest first.
-using Story = std::vector<std::string>;
+// Output lines, oldest first.
+using Timeline = std::vector<std::string>;
 
-tl::expected<Story, ExplainFault> Explain(std::istream&      logs,
-                                          const std::string& id);
+tl::expected<Timeline, ExplainFault> Explain(std::istream&      logs,
+                                             const std::string& id);
 
 }  // namespace yuccawick::cli
--- a/src/yuccawick/cli/main.cc
+++ b/src/yuccawick/cli/main.cc
@@ -1,6 +1,6 @@
-// yw: the operator's command.
+// yw: the operator's command-line tool.
 //
-// Exit codes: 0 done, 1 refused (the reason on standard error), 2 usage.
+// Exit codes: 0 success, 1 refused (reason on standard error), 2 usage error.
 #include <gflags/gflags.h>
 
 #include <array>
@@ -17,7 +17,7 @@
 #include "yuccawick/daemon/settings.h"
 
 DEFINE_string(log_service, "", "host:port of the platform's log");
-DEFINE_int64(amends, -2, "version to amend; the one in force if not given");
+DEFINE_int64(amends, -2, "version to amend; default: the version in force");
 
 namespace yuccawick::cli {
 namespace {
@@ -26,15 +26,15 @@
 constexpr int          kUsage = 2;
 constexpr std::int64_t kNoAmends = -2;
 constexpr const char*  kHelp = R"(usage: yw [--log_service=HOST:PORT] COMMAND
-  contract check FILE     say whether the file is a contract
-  contract publish FILE   put it in force (--amends=VERSION: only over that one)
-  contract show [NAME]    contracts in force, with their versions
-  members                 nodes, zones, replicas, claims
-  budget NAME             what is granted of a customer's totals
-  drain VM                have the agent there finish, hand over and stop
-  explain ID [FILE]       tell a request's or program's story from the gateways'
-                          logs, in FILE or on standard input
-YUCCAWICK_LOG_SERVICE may name the log instead of the flag.
+  contract check FILE     check a contract file
+  contract publish FILE   publish it (--amends=VERSION: only over VERSION)
+  contract show [NAME]    show contracts in force and their versions
+  members                 list nodes with zones, replicas and claims
+  budget NAME             show how much of a customer's totals is granted
+  drain VM                drain the agent on VM: finish, hand over, stop
+  explain ID [FILE]       show the timeline of a request or program from gateway
+                          logs in FILE or on standard input
+The environment variable YUCCAWICK_LOG_SERVICE can replace --log_service.
 )";
 
 class ClientLog : public LogAccess {
@@ -51,7 +51,7 @@
   const backends::LogClient& m_client;
 };
 
-int Fail(const core::Failure& failure) {
+int PrintFailure(const core::Failure& failure) {
   std::cerr << "refused: " << core::Name(failure.reason)
             << ", ran: " << core::Name(failure.ran)
             << ", retry after ms: " << failure.retry_after << "\n";
@@ -65,7 +65,7 @@
   return ParseContract(text.str());
 }
 
-int PrintFaults(const std::vector<FileError>& errors) {
+int PrintErrors(const std::vector<FileError>& errors) {
   for (const auto& error : errors) {
     std::cerr << Name(error.fault) << " " << error.key
               << (error.key.empty() ? "" : " ") << error.detail << "\n";
@@ -77,18 +77,18 @@
 
 int CheckContract(Operator& /*op*/, const Arguments& arguments) {
   const auto contract = ReadFile(arguments.at(0));
-  if (!contract) return PrintFaults(contract.error());
-  std::cout << "contract of " << contract->customer << " is fine\n";
+  if (!contract) return PrintErrors(contract.error());
+  std::cout << "contract of " << contract->customer << " is valid\n";
   return 0;
 }
 
 int PublishContract(Operator& op, const Arguments& arguments) {
   const auto contract = ReadFile(arguments.at(0));
-  if (!contract) return PrintFaults(contract.error());
+  if (!contract) return PrintErrors(contract.error());
   const core::Offset amends = FLAGS_amends;
   const auto         published =
       op.Publish(*contract, amends == kNoAmends ? nullptr : &amends);
-  if (!published) return Fail(published.error());
+  if (!published) return PrintFailure(published.error());
   std::cout << contract->customer << " in force as version "
             << published->version << "\n";
   return 0;
@@ -96,7 +96,7 @@
 
 int ShowContracts(Operator& op, const Arguments& arguments) {
   const auto control = op.ReadControl();
-  if (!control) return Fail(control.error());
+  if (!control) return PrintFailure(control.error());
   for (const auto& [customer, in_force] : control->contracts()) {
     if (!arguments.empty() && arguments[0] != customer) continue;
     std::cout << "version " << in_force.version << "\n"
@@ -113,7 +113,7 @@
 
 int ShowMembers(Operator& op, const Arguments& /*arguments*/) {
   const auto control = op.ReadControl();
-  if (!control) return Fail(control.error());
+  if (!control) return PrintFailure(control.error());
   for (const auto& [node, member] : control->members()) {
     std::cout << core::ToString(node) << " " << member.join.zone << " "
               << core::Name(member.join.kind) << " " << member.join.target
@@ -128,7 +128,7 @@
 
 int ShowBudget(Operator& op, const Arguments& arguments) {
   const auto ledger = op.ReadGrants(arguments.at(0));
-  if (!ledger) return Fail(ledger.error());
+  if (!ledger) return PrintFailure(ledger.error());
   for (const auto resource :
        {core::Resource::kTokens, core::Resource::kPrograms}) {
     const auto& state = ledger->state(resource);
@@ -138,9 +138,9 @@
   return 0;
 }
 
-int Drain(Operator& op, const Arguments& arguments) {
+int DrainNode(Operator& op, const Arguments& arguments) {
   const auto drained = op.Drain(arguments.at(0));
-  if (!drained) return Fail(drained.error());
+  if (!drained) return PrintFailure(drained.error());
   std::cout << arguments[0] << " is leaving\n";
   return 0;
 }
@@ -148,21 +148,21 @@
 int ExplainId(Operator& /*op*/, const Arguments& arguments) {
   std::ifstream file;
   if (arguments.size() > 1) file.open(arguments[1]);
-  const auto story =
+  const auto timeline =
       Explain(arguments.size() > 1 ? file : std::cin, arguments.at(0));
-  if (!story) {
-    std::cerr << Name(story.error()) << " " << arguments[0] << "\n";
+  if (!timeline) {
+    std::cerr << Name(timeline.error()) << " " << arguments[0] << "\n";
     return kRefused;
   }
-  for (const std::string& line : *story) std::cout << line << "\n";
+  for (const std::string& line : *timeline) std::cout << line << "\n";
   return 0;
 }
 
 struct Subcommand {
   const char* group;
-  const char* name;  // empty: the group is the whole command
-  std::size_t least;
-  std::size_t most;
+  const char* name;  // empty: the command is the group alone
+  std::size_t min_arguments;
+  std::size_t max_arguments;
   int (*run)(Operator&, const Arguments&);
 };
 constexpr std::array<Subcommand, 7> kCommands{{
@@ -171,18 +171,19 @@
     {"contract", "show", 0, 1, ShowContracts},
     {"members", "", 0, 0, ShowMembers},
     {"budget", "", 1, 1, ShowBudget},
-    {"drain", "", 1, 1, Drain},
+    {"drain", "", 1, 1, DrainNode},
     {"explain", "", 1, 2, ExplainId},
 }};
 
-const Subcommand* Find(const Arguments& words, Arguments* arguments) {
+const Subcommand* FindCommand(const Arguments& words, Arguments* arguments) {
   for (const auto& command : kCommands) {
     const std::size_t used = *command.name == '\0' ? 1 : 2;
     if (words.size() < used || words[0] != command.group) continue;
     if (used == 2 && words[1] != command.name) continue;
     *arguments = Arguments(words.begin() + static_cast<std::ptrdiff_t>(used),
                            words.end());
-    if (arguments->size() < command.least || arguments->size() > command.most)
+    if (arguments->size() < command.min_arguments ||
+        arguments->size() > command.max_arguments)
       return nullptr;
     return &command;
   }
@@ -202,7 +203,7 @@
   yuccawick::daemon::ApplyEnvironment(environment);
   const cli::Arguments   words(argv + 1, argv + argc);
   cli::Arguments         arguments;
-  const cli::Subcommand* command = cli::Find(words, &arguments);
+  const cli::Subcommand* command = cli::FindCommand(words, &arguments);
   const auto endpoint = yuccawick::backends::ParseEndpoint(FLAGS_log_service);
   const bool offline =
       command != nullptr &&
--- a/src/yuccawick/cli/operator.cc
+++ b/src/yuccawick/cli/operator.cc
@@ -13,7 +13,7 @@
 
 const std::string kControl(core::kControlStream);
 
-Failure LogDown(Ran ran) {
+Failure LogUnavailable(Ran ran) {
   return {Reason::kLogUnavailable, ran,
           core::Info(Reason::kLogUnavailable).retry_after};
 }
@@ -27,7 +27,7 @@
     const std::string& stream, core::Offset from) {
   auto done = m_log.Read({0, stream, from});
   if (done.status != LogStatus::kOk)
-    return tl::make_unexpected(LogDown(Ran::kNo));
+    return tl::make_unexpected(LogUnavailable(Ran::kNo));
   return done;
 }
 
@@ -67,13 +67,13 @@
   record.contract = contract;
   const auto appended = m_log.Append({0, kControl, {record}});
   if (appended.status == LogStatus::kRefused)
-    return tl::make_unexpected(LogDown(Ran::kNo));
-  // Whether it took effect is decided by the log alone, also if the reply was
-  // lost.
+    return tl::make_unexpected(LogUnavailable(Ran::kNo));
+  // Only the log decides whether the record took effect, so it is read back
+  // even if the append failed without a definite answer.
   core::Offset next = before->version() + 1;
   while (true) {
     const auto done = ReadFrom(kControl, next);
-    if (!done) return tl::make_unexpected(LogDown(Ran::kUnknown));
+    if (!done) return tl::make_unexpected(LogUnavailable(Ran::kUnknown));
     for (const auto& logged : done->records) {
       const auto  effect = before->Apply(logged);
       const auto* seen = std::get_if<core::ContractRecord>(&logged.record);
@@ -84,7 +84,8 @@
     const core::Offset read =
         done->records.empty() ? done->end : done->records.back().offset + 1;
     next = std::max(next, read);
-    if (next >= done->end) return tl::make_unexpected(LogDown(Ran::kUnknown));
+    if (next >= done->end)
+      return tl::make_unexpected(LogUnavailable(Ran::kUnknown));
   }
 }
 
@@ -98,7 +99,8 @@
       m_log.Append({0, kControl, {core::LeaveRecord{member->join.node}}});
   if (appended.status == LogStatus::kOk) return {};
   const bool refused = appended.status == LogStatus::kRefused;
-  return tl::make_unexpected(LogDown(refused ? Ran::kNo : Ran::kUnknown));
+  return tl::make_unexpected(
+      LogUnavailable(refused ? Ran::kNo : Ran::kUnknown));
 }
 
 tl::expected<core::GrantLedger, Failure> Operator::ReadGrants(
--- a/src/yuccawick/cli/operator.h
+++ b/src/yuccawick/cli/operator.h
@@ -1,9 +1,9 @@
-// What operators do: publish and amend contracts, drain servers, look.
+// Operator actions: publish and amend contracts, drain servers, read state.
 //
-// All of it goes through the platform's log. Publishing is compare-and-set by
-// log order: the record names the version it amends, and is read back to see
-// whether it took effect. A lost reply is looked up by the amendment's id, so
-// nothing is ever published twice.
+// All actions go through the platform's log. Publishing is a compare-and-set in
+// log order: the record names the version that it amends and is read back to
+// see whether it took effect. After a lost reply the record is found by its
+// amendment id, so nothing is published twice.
 #pragma once
 
 #include <string>
@@ -15,7 +15,7 @@
 
 namespace yuccawick::cli {
 
-// The log as the operator sees it; a client in the command, a fake in tests.
+// Access to the platform's log: a client in the tool, a fake in tests.
 class LogAccess {
  public:
   virtual ~LogAccess() = default;
@@ -29,23 +29,23 @@
 
 class Operator {
  public:
-  // `id` makes amendments of this run distinct from all others.
+  // `id` must be unique among all runs; it prefixes the amendment ids.
   Operator(LogAccess& log, std::string id);
 
-  // The control stream's state, read in full.
+  // Reads the whole control stream and returns its state.
   tl::expected<core::Control, core::Failure> ReadControl();
 
   // Publishes the contract as an amendment of the version in force, or of
-  // `amends` if given. Fails with kConflict if another amendment came first,
-  // and with kLogUnavailable if the log does not answer; `ran` then says
-  // whether it took effect (unknown: run `show` once the log is back).
+  // `amends` if given. Fails with kConflict if another amendment came first and
+  // with kLogUnavailable if the log does not answer; `ran` then says whether it
+  // took effect (if unknown, run `show` once the log is back).
   tl::expected<Published, core::Failure> Publish(const core::Contract& contract,
                                                  const core::Offset*   amends);
 
-  // Has the node on that VM finish and hand over.
+  // Asks the node on the VM to finish its work, hand over and stop.
   tl::expected<void, core::Failure> Drain(const std::string& vm);
 
-  // What is granted of a customer's totals.
+  // Reads how much of the customer's totals has been granted.
   tl::expected<core::GrantLedger, core::Failure> ReadGrants(
       const std::string& customer);
 
--- a/tests/configuration_test.cc
+++ b/tests/configuration_test.cc
@@ -1,4 +1,4 @@
-// 10. An accepted configuration is in force everywhere within seconds and never
+// An accepted configuration takes effect on every node within seconds and never
 // reverts.
 #include <criterion/criterion.h>
 
@@ -25,14 +25,13 @@
   return contract;
 }
 
-bool LateRecordChangesNothing(Safeguards safeguards) {
+bool LateStateChangesNothing(Safeguards safeguards) {
   SmallGroup              s(safeguards);
   const core::ControlPush late{s.group.agent(kHomeB).control().Snapshot()};
   s.group.Publish(WithTurns(77));
   s.group.Advance(2000);
   if (TurnsAt(s, kHomeA) != 77) return false;
-  // A peer's state of long ago arrives now, for the first or for the third
-  // time.
+  // An old state of a peer arrives late, and repeatedly.
   for (int i = 0; i < 3; ++i) {
     s.group.Inject(kHomeA,
                    core::MessageReceived{s.group.agent(kHomeB).self(),
@@ -41,12 +40,11 @@
   return TurnsAt(s, kHomeA) == 77;
 }
 
-Test(Configuration, OlderRecordsComeLateAndAgain_DoesNotRevert) {
-  // Callers go on under the amended contract. A peer's older state comes after
-  // the amendment; it lies below the version held.
-  cr_assert_not(LateRecordChangesNothing(
+Test(Configuration, OlderStateArrivesLateAndAgain_DoesNotRevert) {
+  // Guards against a late control push that reverts an amended contract.
+  cr_assert_not(LateStateChangesNothing(
       Safeguards::Without(Safeguard::kNewerControlOnly)));
-  cr_assert(LateRecordChangesNothing(Safeguards::All()));
+  cr_assert(LateStateChangesNothing(Safeguards::All()));
 }
 
 class GroupLog : public cli::LogAccess {
@@ -70,8 +68,8 @@
   std::function<void()> m_before_append;
 };
 
-// Two operators amend the same version; the second appends while the first is
-// between its read and its append.
+// Two operators amend the same version; the second appends between the first
+// one's read and append.
 bool ExactlyOneWins(Safeguards safeguards) {
   SmallGroup    s(safeguards);
   GroupLog      first_log(s.group.log());
@@ -81,20 +79,19 @@
   first_log.BeforeAppend([&] { (void)second.Publish(WithTurns(22), nullptr); });
   const auto lost = first.Publish(WithTurns(11), nullptr);
   s.group.Advance(2000);
-  const bool told = !lost && lost.error().reason == Reason::kConflict &&
-                    lost.error().ran == core::Ran::kNo;
-  return told && TurnsAt(s, kHomeA) == 22 && TurnsAt(s, kHomeB) == 22;
+  const bool conflict = !lost && lost.error().reason == Reason::kConflict &&
+                        lost.error().ran == core::Ran::kNo;
+  return conflict && TurnsAt(s, kHomeA) == 22 && TurnsAt(s, kHomeB) == 22;
 }
 
-Test(Configuration, TwoOperatorsAmendAtOnce_OneGetsAConflict) {
-  // One operator sees its version in force, the other a typed conflict, and
-  // every node holds the winner's. Log order decides; without the check of the
-  // amended version the loser's record would silently replace the winner's.
+Test(Configuration, ConcurrentAmendments_OneGetsConflict) {
+  // Guards against a lost update: without the check of the amended version, the
+  // later record would silently replace the earlier one.
   cr_assert_not(ExactlyOneWins(Safeguards::Without(Safeguard::kAmendsVersion)));
   cr_assert(ExactlyOneWins(Safeguards::All()));
 }
 
-Test(Configuration, AppendReplyLost_OperatorLearnsThatItTookEffect) {
+Test(Configuration, AppendReplyLost_PublishStillSucceeds) {
   SmallGroup    s;
   GroupLog      log(s.group.log());
   cli::Operator op(log, "op");
@@ -105,7 +102,7 @@
   cr_assert_eq(TurnsAt(s, kHomeA), 33);
 }
 
-Test(Configuration, LogDown_OperatorIsToldThatNothingHappened) {
+Test(Configuration, LogDown_PublishFailsAsNotExecuted) {
   SmallGroup    s;
   GroupLog      log(s.group.log());
   cli::Operator op(log, "op");
@@ -115,8 +112,8 @@
   cr_assert(published.error().ran == core::Ran::kNo);
 }
 
-Test(Configuration, PublishedWithDefaultPolling_IsInForceWithinEightSeconds) {
-  // Every node holds it within 8 s, though some reads of each are refused.
+Test(Configuration, DefaultPolling_ContractInForceWithinEightSeconds) {
+  // Guards against slow propagation while some reads of the log fail.
   GroupSettings settings;
   settings.control_poll = 2000;
   Group group(settings);
@@ -140,13 +137,13 @@
   }
 }
 
-Test(Configuration, NodeStartsInOutage_TakesItsPeersState) {
-  // The operators see the new node serve under the contract in force. It finds
-  // the log down, knows its peers from the platform's list, and asks them.
+Test(Configuration, NodeStartsInOutage_TakesPeersState) {
+  // Guards against a node that starts during a log outage without the current
+  // contract: it must ask the peers of the VM list.
   SmallGroup s;
   s.group.Publish(WithTurns(66));
   s.group.Advance(2000);
-  for (int i = 0; i < 9; ++i) s.Start();  // the homes have slots to give
+  for (int i = 0; i < 9; ++i) s.Start();  // coordinators have free slots
   std::vector<core::VmEntry> list;
   list.reserve(kAgents.size());
   for (const auto& vm : kAgents) list.push_back({vm, "", false});
@@ -161,9 +158,9 @@
   cr_assert(s.group.StartNow("entry-c", "sakhli", "w1").has_value());
 }
 
-Test(Configuration, RetentionDropsOldRecords_SnapshotStandsForThem) {
-  // A node that starts after retention has dropped the contract's record still
-  // learns the contract: an agent wrote a snapshot in time.
+Test(Configuration, RetentionDropsOldRecords_SnapshotReplacesThem) {
+  // Guards against a contract lost to retention: a snapshot written in time
+  // must replace the dropped records.
   GroupSettings settings;
   settings.tune = [](core::AgentSettings* agent) {
     agent->control.snapshot_interval = 5000;
@@ -193,7 +190,7 @@
   cr_assert(group.StartNow("entry-b", "sakhli", "w1").has_value());
 }
 
-Test(Configuration, OldRecordsDroppedWithoutSnapshot_NothingIsGuessed) {
+Test(Configuration, RecordsDroppedWithoutSnapshot_StateStaysEmpty) {
   core::Control control(Safeguards::All());
   SmallGroup    s;
   s.group.log().Trim(std::string(core::kControlStream), 3);
--- a/tests/explain_test.cc
+++ b/tests/explain_test.cc
@@ -1,4 +1,4 @@
-// A request's story, told from lines of several nodes.
+// Timelines of requests and programs from the logs of several nodes.
 #include "yuccawick/cli/explain.h"
 
 #include <criterion/criterion.h>
@@ -24,37 +24,38 @@
     "\"request\":\"r2\"}\n"
     "{\"time_ms\":45";
 
-Test(Explain, RefusedRequest_TellsItsCauseInOrder) {
+Test(Explain, RefusedRequest_TimelineShowsCauseInOrder) {
   std::istringstream logs(kLogs);
-  const auto         story = cli::Explain(logs, "r1");
-  cr_assert(story.has_value());
-  cr_assert_eq(story->size(), 4);
-  cr_assert(story->at(0).find("log_lost  partition=claims 0") !=
+  const auto         timeline = cli::Explain(logs, "r1");
+  cr_assert(timeline.has_value());
+  cr_assert_eq(timeline->size(), 4);
+  cr_assert(timeline->at(0).find("log_lost  partition=claims 0") !=
             std::string::npos);
-  cr_assert(story->at(1).find("accepted") != std::string::npos);
-  cr_assert(story->at(2).find("claim  granted=0") != std::string::npos);
-  cr_assert(story->at(3).find("reason=budget_unsure") != std::string::npos);
+  cr_assert(timeline->at(1).find("accepted") != std::string::npos);
+  cr_assert(timeline->at(2).find("claim  granted=0") != std::string::npos);
+  cr_assert(timeline->at(3).find("reason=budget_unsure") != std::string::npos);
 }
 
-Test(Explain, Program_TellsAllItsRequests) {
+Test(Explain, Program_TimelineShowsAllRequests) {
   std::istringstream logs(kLogs);
   cr_assert_eq(cli::Explain(logs, "p")->size(), 4);
 }
 
-// Its home's latest word on room comes with it, another node's does not.
-Test(Explain, ProgramWithoutRoom_TellsWhatItsHomeSaw) {
+// The timeline includes the capacity lines of the program's coordinator, not
+// those of other nodes.
+Test(Explain, ProgramWithoutCapacity_TimelineShowsCoordinatorsCapacity) {
   std::istringstream logs(
       "{\"time_ms\":4000,\"event\":\"room\",\"node\":\"h\",\"turns\":9}\n"
       "{\"time_ms\":4000,\"event\":\"room\",\"node\":\"i\",\"turns\":8}\n"
       "{\"time_ms\":5000,\"event\":\"refused\",\"node\":\"a\","
       "\"request\":\"r1\",\"reason\":\"no_room\","
       "\"tokens_counted_by\":\"h\"}\n");
-  const auto story = cli::Explain(logs, "r1");
-  cr_assert_eq(story->size(), 2);
-  cr_assert(story->at(0).find("h  room  turns=9") != std::string::npos);
+  const auto timeline = cli::Explain(logs, "r1");
+  cr_assert_eq(timeline->size(), 2);
+  cr_assert(timeline->at(0).find("h  room  turns=9") != std::string::npos);
 }
 
-Test(Explain, UnknownId_IsATypedFailure) {
+Test(Explain, UnknownId_IsNotFound) {
   std::istringstream logs(kLogs);
   cr_assert(cli::Explain(logs, "none").error() == cli::ExplainFault::kNotFound);
 }
