--- a/src/yuccawick/gateway/follower.h
+++ b/src/yuccawick/gateway/follower.h
@@ -67,7 +67,8 @@
   bool             m_first_page = true;
 };
 
-// Decodes the followed topics and passes changes to the traffic thread.
+// Decodes the followed topics and passes changes to the callbacks in Outputs,
+// on the control thread.
 class Follower {
  public:
   struct Outputs {
--- a/src/yuccawick/gateway/metrics.h
+++ b/src/yuccawick/gateway/metrics.h
@@ -49,7 +49,7 @@
   void Set(Gauge gauge, double value);
   void SetMemory(const pressure::MemoryBudget& memory);
   void CountClientDropped();
-  // Calls of one kind on one topic since the previous TakeLogUse().
+  // Calls of one kind on one topic since the previous TakeLogUsage().
   struct LogUsage {
     platform::Topic    topic;
     platform::CallKind kind;
@@ -75,7 +75,7 @@
     prometheus::Counter* succeeded = nullptr;
     prometheus::Counter* failed = nullptr;
     prometheus::Counter* bytes = nullptr;
-    LogUsage             reported;  // totals at the last TakeLogUse()
+    LogUsage             reported;  // totals at the last TakeLogUsage()
   };
   std::array<LogCalls, platform::kTopicCount * platform::kCallKindCount>
                                                              m_log_calls;
