--- a/src/yuccawick/gateway/exchange.cc
+++ b/src/yuccawick/gateway/exchange.cc
@@ -232,7 +232,7 @@
   switch (step) {
     case NextStep::kOtherServer:
     case NextStep::kSameServer:
-      m_parts.metrics->CountRepeat(cause);
+      m_parts.metrics->CountRetry(cause);
       SendAgain(step);
       break;
     case NextStep::kRefuse:
--- a/src/yuccawick/gateway/gateway.cc
+++ b/src/yuccawick/gateway/gateway.cc
@@ -343,7 +343,7 @@
     coordinator.LogRefusals();
   m_admission.WriteUsageLines();
   WriteUsageMargins();
-  for (const Metrics::LogUse& use : m_metrics->TakeLogUse()) {
+  for (const Metrics::LogUsage& use : m_metrics->TakeLogUsage()) {
     m_log->Write(LogEvent::kLogUse, {{"topic", Name(use.topic)},
                                      {"call", Name(use.kind)},
                                      {"calls", use.calls},
