--- a/src/yuccawick/gateway/admission_service.cc
+++ b/src/yuccawick/gateway/admission_service.cc
@@ -10,91 +10,97 @@
 
 AdmissionService::AdmissionService(net::EventLoop*                     loop,
                                    const admission::AdmissionSettings* settings,
-                                   fairness::FairnessPolicy* share, Log* log,
-                                   Metrics* metrics, CapacityLookup room_of)
+                                   fairness::FairnessPolicy* policy, Log* log,
+                                   Metrics*       metrics,
+                                   CapacityLookup capacity_lookup)
     : m_loop(loop),
       m_settings(settings),
-      m_share(share),
+      m_policy(policy),
       m_log(log),
       m_metrics(metrics),
-      m_room_of(std::move(room_of)),
+      m_capacity_lookup(std::move(capacity_lookup)),
       m_started(loop->now()) {}
 
-AdmissionController& AdmissionService::RoomFor(const std::string& service) {
-  return m_rooms.try_emplace(service, m_settings, m_share, m_started)
+AdmissionController& AdmissionService::ControllerFor(
+    const std::string& service) {
+  return m_controllers.try_emplace(service, m_settings, m_policy, m_started)
       .first->second;
 }
 
-bool AdmissionService::TryAdmit(const AdmissionRequest& ask) {
-  if (ask.service.empty()) return true;
-  return RoomFor(ask.service)
-      .TryAdmit(ask, m_room_of(ask.service), m_loop->now())
+bool AdmissionService::TryAdmit(const AdmissionRequest& request) {
+  if (request.service.empty()) return true;
+  return ControllerFor(request.service)
+      .TryAdmit(request, m_capacity_lookup(request.service), m_loop->now())
       .admitted;
 }
 
-void AdmissionService::OnTurnEnded(const AdmissionRequest& ask,
+void AdmissionService::OnTurnEnded(const AdmissionRequest& request,
                                    std::int64_t            used) {
-  const auto room = m_rooms.find(ask.service);
-  if (room != m_rooms.end()) room->second.OnTurnEnded(ask, used, m_loop->now());
+  const auto controller = m_controllers.find(request.service);
+  if (controller != m_controllers.end())
+    controller->second.OnTurnEnded(request, used, m_loop->now());
 }
 
-void AdmissionService::CancelAdmission(const AdmissionRequest& ask) {
-  const auto room = m_rooms.find(ask.service);
-  if (room != m_rooms.end()) room->second.CancelAdmission(ask, m_loop->now());
+void AdmissionService::CancelAdmission(const AdmissionRequest& request) {
+  const auto controller = m_controllers.find(request.service);
+  if (controller != m_controllers.end())
+    controller->second.CancelAdmission(request, m_loop->now());
 }
 
-Duration AdmissionService::RetryDelay(const AdmissionRequest& ask) const {
-  const auto room = m_rooms.find(ask.service);
-  if (room == m_rooms.end()) return m_settings->min_retry_delay;
-  return room->second.RetryDelay(ask.program, m_loop->now());
+Duration AdmissionService::RetryDelay(const AdmissionRequest& request) const {
+  const auto controller = m_controllers.find(request.service);
+  if (controller == m_controllers.end()) return m_settings->min_retry_delay;
+  return controller->second.RetryDelay(request.program, m_loop->now());
 }
 
 AdmissionService::UsageByService AdmissionService::LocalUsageByService() {
-  UsageByService uses;
-  for (auto& [service, room] : m_rooms) {
-    room.Sweep(m_loop->now());
-    uses[service] = room.LocalUsageByPartition();
+  UsageByService usage;
+  for (auto& [service, controller] : m_controllers) {
+    controller.Sweep(m_loop->now());
+    usage[service] = controller.LocalUsageByPartition();
   }
-  return uses;
+  return usage;
 }
 
-void AdmissionService::SetPeerUsage(const std::string&    home,
-                                    const UsageByService& uses) {
-  for (const auto& [service, use] : uses) {
-    RoomFor(service).SetPeerUsage(home, use, m_loop->now());
+void AdmissionService::SetPeerUsage(const std::string&    coordinator,
+                                    const UsageByService& usage) {
+  for (const auto& [service, service_usage] : usage) {
+    ControllerFor(service).SetPeerUsage(coordinator, service_usage,
+                                        m_loop->now());
   }
 }
 
 std::vector<fairness::UsageCharge> AdmissionService::TakeCharges() {
-  return m_share->TakeUnsent();
+  return m_policy->TakeUnsent();
 }
 
 void AdmissionService::MergePeerCharges(
     const std::vector<fairness::UsageCharge>& charges) {
-  m_share->MergePeer(charges, m_loop->now());
+  m_policy->MergePeer(charges, m_loop->now());
 }
 
 void AdmissionService::WriteUsageLines() {
-  CapacityUsage here;
-  for (auto& [service, room] : m_rooms) {
-    here += room.LocalUsage();
-    const int refused = room.TakeRefusedCount();
-    if (room.empty() && refused == 0) continue;
-    const CapacityUsage total = room.TotalUse(m_loop->now());
-    const auto          holds = m_room_of(service);
+  CapacityUsage local_usage;
+  for (auto& [service, controller] : m_controllers) {
+    local_usage += controller.LocalUsage();
+    const int refused = controller.TakeRefusedCount();
+    if (controller.empty() && refused == 0) continue;
+    const CapacityUsage total = controller.TotalUse(m_loop->now());
+    const auto          service_capacity = m_capacity_lookup(service);
     m_log->Write(LogEvent::kRoom,
                  {{"service", service},
-                  {"programs_here", room.LocalUsage().programs},
+                  {"programs_here", controller.LocalUsage().programs},
                   {"programs", total.programs},
                   {"turns", static_cast<std::int64_t>(total.slots)},
-                  {"places", static_cast<std::int64_t>(holds.slots)},
+                  {"places", static_cast<std::int64_t>(service_capacity.slots)},
                   {"held_tokens", total.memory},
-                  {"memory_tokens", holds.memory},
+                  {"memory_tokens", service_capacity.memory},
                   {"refused_here", refused}});
   }
-  m_metrics->Set(Gauge::kPrograms, here.programs);
-  m_metrics->Set(Gauge::kProgramTurns, here.slots);
-  m_metrics->Set(Gauge::kProgramTokens, static_cast<double>(here.memory));
+  m_metrics->Set(Gauge::kPrograms, local_usage.programs);
+  m_metrics->Set(Gauge::kProgramTurns, local_usage.slots);
+  m_metrics->Set(Gauge::kProgramTokens,
+                 static_cast<double>(local_usage.memory));
 }
 
 }  // namespace yuccawick::gateway
--- a/src/yuccawick/gateway/peer_network.cc
+++ b/src/yuccawick/gateway/peer_network.cc
@@ -12,11 +12,13 @@
 namespace {
 
 constexpr std::size_t kLengthBytes = 4;
-constexpr std::size_t kMaxMessage = 16UL << 20;  // a long chain of turns
-constexpr int         kSilence = 1000;           // ms of unacknowledged bytes
+constexpr std::size_t kMaxMessageBytes = 16UL
+                                         << 20;  // fits a long chain of turns
+constexpr int kUnackedTimeout =
+    1000;  // ms that sent bytes may stay unacknowledged
 constexpr int         kBitsPerByte = 8;
-// A peer that reads this slowly is as good as gone.
-constexpr std::size_t kMaxBacklog = 4UL << 20;
+// Messages to a peer with more unsent bytes than this are dropped.
+constexpr std::size_t kMaxBacklogBytes = 4UL << 20;
 
 std::string Encode(const PeerNetwork::Fill& fill, std::uint64_t number) {
   capnp::MallocMessageBuilder message;
@@ -34,39 +36,39 @@
                       bytes.size());
 }
 
-// Cuts a stream of bytes into messages.
+// Splits a byte stream into messages.
 class FrameReader {
  public:
-  // False if the bytes are no messages.
-  template <class Take>
-  bool Feed(std::string_view bytes, Take take) {
+  // Returns false if the bytes are not valid messages.
+  template <class Handler>
+  bool Feed(std::string_view bytes, Handler on_message) {
     m_buffer.append(bytes);
     std::size_t at = 0;
-    bool        sound = true;
-    while (sound && m_buffer.size() - at >= kLengthBytes) {
+    bool        valid = true;
+    while (valid && m_buffer.size() - at >= kLengthBytes) {
       std::size_t size = 0;
       for (std::size_t i = 0; i < kLengthBytes; ++i) {
         size =
             size << kBitsPerByte | static_cast<unsigned char>(m_buffer[at + i]);
       }
-      if (size > kMaxMessage) return false;
+      if (size > kMaxMessageBytes) return false;
       if (m_buffer.size() - at - kLengthBytes < size) break;
       const std::string message = m_buffer.substr(at + kLengthBytes, size);
       at += kLengthBytes + size;
-      sound = Read(message, take);
+      valid = Read(message, on_message);
     }
     m_buffer.erase(0, at);
-    return sound;
+    return valid;
   }
 
  private:
-  template <class Take>
-  static bool Read(const std::string& bytes, Take take) {
+  template <class Handler>
+  static bool Read(const std::string& bytes, Handler on_message) {
     const auto failed = kj::runCatchingExceptions([&] {
       kj::ArrayInputStream       in(kj::arrayPtr(
                 reinterpret_cast<const kj::byte*>(bytes.data()), bytes.size()));
       capnp::PackedMessageReader reader(in);
-      take(reader.getRoot<PeerMessage>());
+      on_message(reader.getRoot<PeerMessage>());
     });
     return failed == nullptr;
   }
@@ -75,129 +77,131 @@
 
 }  // namespace
 
-class PeerNetwork::Link final : public net::StreamOwner {
+class PeerNetwork::OutboundConnection final : public net::StreamOwner {
  public:
-  Link(PeerNetwork* network, programs::NodeInfo node, int fd)
+  OutboundConnection(PeerNetwork* network, programs::NodeInfo node, int fd)
       : m_network(network),
         m_node(std::move(node)),
         m_stream(network->m_loop, this, fd, true) {
     m_connect_timer = network->m_loop->After(
         network->m_thresholds->peer_connect_timeout, [this] {
           m_connect_timer = 0;
-          m_network->DropLink(m_node.name, true);
+          m_network->DropOutbound(m_node.name, true);
         });
   }
-  ~Link() override {
+  ~OutboundConnection() override {
     m_network->m_loop->Cancel(&m_connect_timer);
-    for (auto& [number, question] : m_questions) {
-      m_network->m_loop->Cancel(&question.timer);
+    for (auto& [number, request] : m_pending) {
+      m_network->m_loop->Cancel(&request.timer);
     }
   }
 
   const programs::NodeInfo& node() const { return m_node; }
 
   void Send(const std::string& frame) {
-    if (m_stream.pending() < kMaxBacklog) m_stream.Write(frame);
+    if (m_stream.pending() < kMaxBacklogBytes) m_stream.Write(frame);
   }
 
-  void Expect(std::uint64_t number, Duration timeout, Answered done) {
+  void AddPending(std::uint64_t number, Duration timeout,
+                  ResponseCallback done) {
     const net::TimerId timer =
         m_network->m_loop->After(timeout, [this, number] {
-          Answered late = Take(number);
+          ResponseCallback callback = TakeCallback(number);
           m_network->Suspect(m_node.name);
-          late(std::nullopt);
+          callback(std::nullopt);
         });
-    m_questions.emplace(number, Question{std::move(done), timer});
+    m_pending.emplace(number, PendingRequest{std::move(done), timer});
   }
 
   void Close() { m_stream.Close(); }
   void FailAll() {
-    auto questions = std::exchange(m_questions, {});
-    for (auto& [number, question] : questions) {
-      m_network->m_loop->Cancel(&question.timer);
-      question.done(std::nullopt);
+    auto pending = std::exchange(m_pending, {});
+    for (auto& [number, request] : pending) {
+      m_network->m_loop->Cancel(&request.timer);
+      request.done(std::nullopt);
     }
   }
 
   void OnConnected() override { m_network->m_loop->Cancel(&m_connect_timer); }
   void OnBytes(std::string_view bytes) override {
-    m_network->HeardOf(m_node.name);
-    const bool sound = m_frames.Feed(
-        bytes, [this](PeerMessage::Reader message) { TakeAnswer(message); });
-    if (!sound) m_network->DropLink(m_node.name, true);
+    m_network->MarkReachable(m_node.name);
+    const bool valid = m_frames.Feed(
+        bytes,
+        [this](PeerMessage::Reader message) { HandleResponse(message); });
+    if (!valid) m_network->DropOutbound(m_node.name, true);
   }
   void OnClosed(net::CloseCause /*cause*/) override {
-    m_network->DropLink(m_node.name, true);
+    m_network->DropOutbound(m_node.name, true);
   }
 
  private:
-  struct Question {
-    Answered     done;
-    net::TimerId timer = 0;
+  struct PendingRequest {
+    ResponseCallback done;
+    net::TimerId     timer = 0;
   };
 
-  Answered Take(std::uint64_t number) {
-    auto node = m_questions.extract(number);
-    return node.empty() ? Answered() : std::move(node.mapped().done);
+  ResponseCallback TakeCallback(std::uint64_t number) {
+    auto node = m_pending.extract(number);
+    return node.empty() ? ResponseCallback() : std::move(node.mapped().done);
   }
 
-  void TakeAnswer(PeerMessage::Reader message) {
-    const auto found = m_questions.find(message.getNumber());
-    if (found == m_questions.end()) {
-      m_network->m_service->OnLateAnswer(m_node.name, message,
-                                         message.getNumber());
+  void HandleResponse(PeerMessage::Reader message) {
+    const auto found = m_pending.find(message.getNumber());
+    if (found == m_pending.end()) {
+      m_network->m_handler->OnLateResponse(m_node.name, message,
+                                           message.getNumber());
       return;
     }
     m_network->m_loop->Cancel(&found->second.timer);
-    const Answered done = Take(message.getNumber());
+    const ResponseCallback done = TakeCallback(message.getNumber());
     done(message);
   }
 
-  PeerNetwork*                                m_network;
-  programs::NodeInfo                          m_node;
-  net::Stream                                 m_stream;
-  net::TimerId                                m_connect_timer = 0;
-  FrameReader                                 m_frames;
-  std::unordered_map<std::uint64_t, Question> m_questions;
+  PeerNetwork*                                      m_network;
+  programs::NodeInfo                                m_node;
+  net::Stream                                       m_stream;
+  net::TimerId                                      m_connect_timer = 0;
+  FrameReader                                       m_frames;
+  std::unordered_map<std::uint64_t, PendingRequest> m_pending;
 };
 
-class PeerNetwork::Session final : public net::StreamOwner {
+class PeerNetwork::InboundConnection final : public net::StreamOwner {
  public:
-  Session(PeerNetwork* network, ConnectionId id, int fd)
+  InboundConnection(PeerNetwork* network, ConnectionId id, int fd)
       : m_network(network),
         m_id(id),
         m_stream(network->m_loop, this, fd, false) {}
 
   void Send(const std::string& frame) {
-    if (m_stream.pending() < kMaxBacklog) m_stream.Write(frame);
+    if (m_stream.pending() < kMaxBacklogBytes) m_stream.Write(frame);
   }
   void Close() { m_stream.Close(); }
 
   void OnBytes(std::string_view bytes) override {
-    const bool sound = m_frames.Feed(
-        bytes, [this](PeerMessage::Reader message) { TakeMessage(message); });
-    if (!sound) m_network->DropSession(m_id);
+    const bool valid = m_frames.Feed(
+        bytes, [this](PeerMessage::Reader message) { HandleMessage(message); });
+    if (!valid) m_network->DropInbound(m_id);
   }
   void OnClosed(net::CloseCause /*cause*/) override {
-    m_network->DropSession(m_id);
+    m_network->DropInbound(m_id);
   }
 
  private:
-  void TakeMessage(PeerMessage::Reader message) {
+  void HandleMessage(PeerMessage::Reader message) {
     if (message.isHello()) {
       m_node = message.getHello().getIncarnation().cStr();
       m_node = m_node.substr(0, m_node.find('/'));
-      m_network->HeardOf(m_node);
+      m_network->MarkReachable(m_node);
       return;
     }
-    // The reply may come after this session has ended.
+    // The reply may be sent after this connection has closed.
     const auto reply = [network = m_network, id = m_id,
                         number = message.getNumber()](const Fill& fill) {
-      const auto session = network->m_sessions.find(id);
-      if (session == network->m_sessions.end()) return;
-      session->second->Send(Encode(fill, number));
+      const auto connection = network->m_inbound.find(id);
+      if (connection == network->m_inbound.end()) return;
+      connection->second->Send(Encode(fill, number));
     };
-    m_network->m_service->OnMessage(m_id, m_node, message, reply);
+    m_network->m_handler->OnMessage(m_id, m_node, message, reply);
   }
 
   PeerNetwork* m_network;
@@ -225,24 +229,25 @@
 }
 
 void PeerNetwork::OnReadable() {
-  for (int fd = net::Accept(m_listener, kSilence); fd >= 0;
-       fd = net::Accept(m_listener, kSilence)) {
-    const ConnectionId id = ++m_last_session;
-    m_sessions.emplace(id, std::make_unique<Session>(this, id, fd));
+  for (int fd = net::Accept(m_listener, kUnackedTimeout); fd >= 0;
+       fd = net::Accept(m_listener, kUnackedTimeout)) {
+    const ConnectionId id = ++m_last_connection;
+    m_inbound.emplace(id, std::make_unique<InboundConnection>(this, id, fd));
   }
 }
 
-PeerNetwork::Link* PeerNetwork::LinkTo(const programs::NodeInfo& node) {
-  const auto found = m_links.find(node.name);
-  if (found != m_links.end()) {
+PeerNetwork::OutboundConnection* PeerNetwork::ConnectTo(
+    const programs::NodeInfo& node) {
+  const auto found = m_outbound.find(node.name);
+  if (found != m_outbound.end()) {
     if (found->second->node() == node) return found->second.get();
-    DropLink(node.name, false);  // the node was restarted
+    DropOutbound(node.name, false);  // the node restarted
   }
-  const int fd = net::Connect(node.address, kSilence);
+  const int fd = net::Connect(node.address, kUnackedTimeout);
   if (fd < 0) return nullptr;
-  auto  link = std::make_unique<Link>(this, node, fd);
-  Link* raw = link.get();
-  m_links.emplace(node.name, std::move(link));
+  auto connection = std::make_unique<OutboundConnection>(this, node, fd);
+  OutboundConnection* raw = connection.get();
+  m_outbound.emplace(node.name, std::move(connection));
   raw->Send(Encode(
       [this](PeerMessage::Builder message) {
         const auto& self = m_members->self();
@@ -257,24 +262,24 @@
 
 std::uint64_t PeerNetwork::SendRequest(const programs::NodeInfo& node,
                                        const Fill& fill, Duration timeout,
-                                       Answered done) {
-  const std::uint64_t number = ++m_last_number;
-  Link*               link = LinkTo(node);
-  if (link == nullptr) {
+                                       ResponseCallback done) {
+  const std::uint64_t number = ++m_last_request;
+  OutboundConnection* connection = ConnectTo(node);
+  if (connection == nullptr) {
     m_loop->Defer([done = std::move(done)] { done(std::nullopt); });
     return number;
   }
-  link->Expect(number, timeout, std::move(done));
-  link->Send(Encode(fill, number));
+  connection->AddPending(number, timeout, std::move(done));
+  connection->Send(Encode(fill, number));
   return number;
 }
 
 void PeerNetwork::SendOneWay(const programs::NodeInfo& node, const Fill& fill) {
-  Link* link = LinkTo(node);
-  if (link != nullptr) link->Send(Encode(fill, 0));
+  OutboundConnection* connection = ConnectTo(node);
+  if (connection != nullptr) connection->Send(Encode(fill, 0));
 }
 
-void PeerNetwork::HeardOf(const std::string& node) {
+void PeerNetwork::MarkReachable(const std::string& node) {
   if (!m_members->Trust(node)) return;
   m_log->Write(LogEvent::kPeer, {{"peer", node}, {"state", "back"}});
 }
@@ -284,24 +289,24 @@
   m_log->Write(LogEvent::kPeer, {{"peer", node}, {"state", "lost"}});
 }
 
-void PeerNetwork::DropLink(const std::string& node, bool suspect) {
-  auto entry = m_links.extract(node);
+void PeerNetwork::DropOutbound(const std::string& node, bool suspect) {
+  auto entry = m_outbound.extract(node);
   if (entry.empty()) return;
   if (suspect) Suspect(node);
-  const std::shared_ptr<Link> dying = std::move(entry.mapped());
-  dying->Close();
-  // Questions fail later: whoever asked may ask again at once, and the link may
-  // be on the call stack.
-  m_loop->Defer([dying] { dying->FailAll(); });
+  const std::shared_ptr<OutboundConnection> closing = std::move(entry.mapped());
+  closing->Close();
+  // Deferred: a callback may send a new request at once, and the connection may
+  // still be on the call stack.
+  m_loop->Defer([closing] { closing->FailAll(); });
 }
 
-void PeerNetwork::DropSession(ConnectionId id) {
-  auto entry = m_sessions.extract(id);
+void PeerNetwork::DropInbound(ConnectionId id) {
+  auto entry = m_inbound.extract(id);
   if (entry.empty()) return;
-  const std::shared_ptr<Session> dying = std::move(entry.mapped());
-  dying->Close();
-  m_service->OnConnectionClosed(id);
-  m_loop->Defer([dying] {});
+  const std::shared_ptr<InboundConnection> closing = std::move(entry.mapped());
+  closing->Close();
+  m_handler->OnConnectionClosed(id);
+  m_loop->Defer([closing] {});
 }
 
 }  // namespace yuccawick::gateway
--- a/src/yuccawick/gateway/peer_network.h
+++ b/src/yuccawick/gateway/peer_network.h
@@ -1,13 +1,12 @@
-// Messages between the nodes that take traffic.
+// Exchanges Cap'n Proto messages between gateway nodes.
 //
-// Cap'n Proto messages, packed, each after its length in four bytes. A node
-// dials whom it wants to ask; answers come back on the same connection. The
-// Cap'n Proto RPC layer is not used: its event loop cannot be joined with the
-// traffic loop, and a hand-over between threads for each question would cost
-// more than the question.
+// Each message is packed and preceded by its length in four bytes. A node opens
+// a connection to every peer it sends requests to; responses return on the same
+// connection. Cap'n Proto RPC is not used because its event loop cannot share a
+// thread with net::EventLoop.
 //
-// Nothing here waits for a peer that does not answer: every question ends, by
-// an answer, a lost connection or its timeout, and the peer is suspected then.
+// Every request ends with a response, a closed connection or its timeout. After
+// the latter two the peer is suspected, see programs/membership.h.
 #pragma once
 
 #include <functional>
@@ -32,34 +31,35 @@
 class PeerNetwork final : public net::SocketHandler {
  public:
   using Fill = std::function<void(PeerMessage::Builder)>;
-  // The answer, or nothing.
-  using Answered = std::function<void(std::optional<PeerMessage::Reader>)>;
+  // Receives the response; nothing on a timeout or a closed connection.
+  using ResponseCallback =
+      std::function<void(std::optional<PeerMessage::Reader>)>;
   using Reply = std::function<void(const Fill&)>;
-  // A connection that a peer made, for as long as it lasts.
+  // Identifies a connection that a peer opened; never reused.
   using ConnectionId = std::uint64_t;
 
   class MessageHandler {
    public:
     virtual ~MessageHandler() = default;
-    // `reply` may be called later, once, or never.
-    virtual void OnMessage(ConnectionId session, const std::string& node,
+    // `reply` may be called at most once, also after this call returns.
+    virtual void OnMessage(ConnectionId connection, const std::string& node,
                            PeerMessage::Reader message, Reply reply) = 0;
-    virtual void OnConnectionClosed(ConnectionId session) = 0;
-    // An answer came after its question had been given up.
-    virtual void OnLateAnswer(const std::string&  node,
-                              PeerMessage::Reader message,
-                              std::uint64_t       number) = 0;
+    virtual void OnConnectionClosed(ConnectionId connection) = 0;
+    // A response arrived after its request had timed out.
+    virtual void OnLateResponse(const std::string&  node,
+                                PeerMessage::Reader message,
+                                std::uint64_t       number) = 0;
   };
 
   PeerNetwork(net::EventLoop* loop, const Thresholds* thresholds,
               programs::Membership* members, Log* log);
   ~PeerNetwork() override;
-  void SetMessageHandler(MessageHandler* service) { m_service = service; }
+  void SetMessageHandler(MessageHandler* handler) { m_handler = handler; }
   bool Listen(const net::Endpoint& at);
 
-  // Returns the question's number.
+  // Returns the number that identifies the request.
   std::uint64_t SendRequest(const programs::NodeInfo& node, const Fill& fill,
-                            Duration timeout, Answered done);
+                            Duration timeout, ResponseCallback done);
   void          SendOneWay(const programs::NodeInfo& node, const Fill& fill);
 
   void OnReadable() override;
@@ -67,25 +67,27 @@
   void OnHangup() override {}
 
  private:
-  class Link;     // made by this node
-  class Session;  // made by a peer
-  void  HeardOf(const std::string& node);
-  Link* LinkTo(const programs::NodeInfo& node);
-  // A node did not answer, or its connection broke.
-  void  Suspect(const std::string& node);
-  void  DropLink(const std::string& node, bool suspect);
-  void  DropSession(ConnectionId id);
+  class OutboundConnection;  // opened by this node
+  class InboundConnection;   // opened by a peer
+  void                MarkReachable(const std::string& node);
+  OutboundConnection* ConnectTo(const programs::NodeInfo& node);
+  // The node did not respond in time, or its connection closed.
+  void                Suspect(const std::string& node);
+  void                DropOutbound(const std::string& node, bool suspect);
+  void                DropInbound(ConnectionId id);
 
-  net::EventLoop*                                        m_loop;
-  const Thresholds*                                      m_thresholds;
-  programs::Membership*                                  m_members;
-  Log*                                                   m_log;
-  MessageHandler*                                        m_service = nullptr;
-  int                                                    m_listener = -1;
-  std::uint64_t                                          m_last_number = 0;
-  ConnectionId                                           m_last_session = 0;
-  std::unordered_map<std::string, std::unique_ptr<Link>> m_links;
-  std::unordered_map<ConnectionId, std::unique_ptr<Session>> m_sessions;
+  net::EventLoop*       m_loop;
+  const Thresholds*     m_thresholds;
+  programs::Membership* m_members;
+  Log*                  m_log;
+  MessageHandler*       m_handler = nullptr;
+  int                   m_listener = -1;
+  std::uint64_t         m_last_request = 0;
+  ConnectionId          m_last_connection = 0;
+  std::unordered_map<std::string, std::unique_ptr<OutboundConnection>>
+      m_outbound;
+  std::unordered_map<ConnectionId, std::unique_ptr<InboundConnection>>
+      m_inbound;
 };
 
 }  // namespace yuccawick::gateway
--- a/src/yuccawick/gateway/peer_service.h
+++ b/src/yuccawick/gateway/peer_service.h
@@ -1,11 +1,12 @@
-// What nodes do for each other: count tokens and tell what they know of servers
-// and of the log. What they do for each other's turns is in peer_turns.h; this
-// passes such messages on.
+// Handles the messages between nodes: token reservations, and reports on server
+// load, capacity usage, charges and log outages. Messages about turns and rate
+// limits are passed on to PeerTurns and RateLimiter.
 //
-// Each program has a home, the node that counts the tokens of its partition of
-// the claims. Homes are a matter of cost only: if the home is out of reach, or
-// the log is out of its reach, the next in rank counts, and the claims in the
-// log keep both within the budget.
+// Each program has a coordinator: the node that counts the tokens of its claim
+// partition. If the coordinator is unreachable, or the log is unreachable for
+// it, the node next in rank takes over. Several coordinators at once cost extra
+// log calls but cannot exceed a budget, because each grant is decided by the
+// claims in the log.
 #pragma once
 
 #include <map>
@@ -22,111 +23,114 @@
 
 namespace yuccawick::gateway {
 
-// Tokens that were reserved for a turn, and where they are settled.
+// Tokens reserved for a turn, and the node that settles them.
 struct Reservation {
   ReserveOutcome outcome = ReserveOutcome::kUnsure;
   TurnBudget     turn;
-  std::string    coordinator;  // name of the node that counts; empty: this one
-  // That ran the program's last turn and may hold its prompt; empty: not known.
+  std::string    coordinator;  // node name; empty: this node
+  // Server that ran the program's last turn and may have its prompt cached;
+  // empty: unknown.
   std::string    server = {};
-  Duration retry_delay = 0;  // with kNoRoom: ms until there should be some
+  Duration       retry_delay = 0;  // ms; set with kNoRoom
 };
 
 class PeerService final : public PeerNetwork::MessageHandler {
  public:
   PeerService(net::EventLoop* loop, const Thresholds* thresholds,
               programs::Membership* members, PeerNetwork* network,
-              std::vector<TokenCoordinator>* desks, RateLimiter* limiter,
-              TurnStore* turns, Backends* backends, AdmissionService* room);
+              std::vector<TokenCoordinator>* coordinators, RateLimiter* limiter,
+              TurnStore* turn_store, Backends* backends,
+              AdmissionService* admission_service);
 
   using ReserveDone = std::function<void(const Reservation&)>;
-  // Asks again for up to `patience` ms while it is not decided.
+  // Retries for up to `patience` ms while the outcome is undecided.
   void Reserve(const TurnBudget& turn, Duration patience,
                const ReserveDone& done);
-  // `server`: that ran the turn; empty: none.
+  // `server`: the server that ran the turn; empty: none.
   void EndTurn(const Reservation& reservation, programs::Tokens used,
                const std::string& server);
-  // Who may be home of a key, the first choice first.
+  // The candidate coordinators of a key, in order of preference.
   std::vector<programs::NodeInfo> RankCoordinators(
       const std::string& key) const;
-  // Tells the nodes of this zone what this node has under way, all nodes
-  // whether the log is away for it, and homes what its programs take of model
-  // servers. Call often.
+  // Sends the load of servers to the nodes of this zone, a log outage to all
+  // nodes, and capacity usage and charges to the other coordinators. Call
+  // often.
   void     SendReports();
-  // How long the log has been away, in ms, for what is away longest: all turns,
-  // or the claims of one partition; 0: nothing is.
+  // The longest current log outage, in ms: of all turn partitions, or of any
+  // one claim partition; 0: none.
   Duration LongestOutage() const;
-  // Whether the log answers what is always asked of it, the manifest.
+  // Whether reads of the manifest, which every node repeats, succeed.
   void     SetLogReachable(bool reachable) { m_log_reachable = reachable; }
   bool     FollowsManifest() const { return m_log_reachable; }
-  // Neither the log nor most nodes answer: this node is cut off, and clients
-  // are better served by others.
+  // Whether neither the log nor most nodes have been reachable for a while;
+  // clients are then better served by other nodes.
   bool     IsIsolated() const;
-  // Some other node that is not known to lack the log.
-  bool     OthersReachLog() const { return m_turns.AnyReachesLog(); }
+  // Whether some other node has not reported the log unavailable.
+  bool     OthersReachLog() const { return m_peer_turns.AnyReachesLog(); }
 
-  void OnMessage(PeerNetwork::ConnectionId session, const std::string& node,
+  void OnMessage(PeerNetwork::ConnectionId connection, const std::string& node,
                  PeerMessage::Reader message,
                  PeerNetwork::Reply  reply) override;
-  void OnConnectionClosed(PeerNetwork::ConnectionId session) override;
-  void OnLateAnswer(const std::string& node, PeerMessage::Reader message,
-                    std::uint64_t number) override;
+  void OnConnectionClosed(PeerNetwork::ConnectionId connection) override;
+  void OnLateResponse(const std::string& node, PeerMessage::Reader message,
+                      std::uint64_t number) override;
 
  private:
-  void ReserveHere(const TurnBudget& turn, const ReserveDone& done);
-  // `rank`: of the home to ask, 0 first. `until`: no further tries then.
+  void ReserveLocally(const TurnBudget& turn, const ReserveDone& done);
+  // `rank`: rank of the coordinator to try, from 0. `until`: end of retries.
   void ReserveFrom(const TurnBudget& turn, std::size_t rank, Time until,
                    const ReserveDone& done);
-  void AskHome(const programs::NodeInfo& home, const TurnBudget& turn,
-               const ReserveDone& done);
-  void ReserveUnsure(const TurnBudget& turn, Time until,
-                     const ReserveDone& done);
+  void SendReserve(const programs::NodeInfo& coordinator,
+                   const TurnBudget& turn, const ReserveDone& done);
+  void RetryReserve(const TurnBudget& turn, Time until,
+                    const ReserveDone& done);
   void Probe(const programs::NodeInfo& node);
   void WatchIsolation();
-  void TellLoads();
-  void TellOutage();
-  void TellRoom();
-  void FindOtherHomes();
-  void TakeRoom(const std::string& node, PeerMessage::Reader message);
-  void TellCharges();
-  void TakeCharges(PeerMessage::Reader message);
-  void ServeReserve(PeerNetwork::ConnectionId session,
+  void SendLoads();
+  void SendOutage();
+  void SendUsage();
+  void FindOtherCoordinators();
+  void ReceiveUsage(const std::string& node, PeerMessage::Reader message);
+  void SendCharges();
+  void ReceiveCharges(PeerMessage::Reader message);
+  void ServeReserve(PeerNetwork::ConnectionId connection,
                     PeerMessage::Reader message, PeerNetwork::Reply reply);
-  void AnswerReserve(const TurnBudget& turn, ReserveOutcome outcome,
-                     PeerMessage::Builder answer);
-  void ServeSettle(PeerNetwork::ConnectionId session,
+  void RespondToReserve(const TurnBudget& turn, ReserveOutcome outcome,
+                        PeerMessage::Builder response);
+  void ServeSettle(PeerNetwork::ConnectionId connection,
                    PeerMessage::Reader       message);
-  TokenCoordinator& DeskOf(const std::string& program);
-  void TakeLoads(const std::string& node, PeerMessage::Reader message);
-  void TellSettle(const std::string& home, const TurnBudget& turn,
+  TokenCoordinator& CoordinatorOf(const std::string& program);
+  void ReceiveLoads(const std::string& node, PeerMessage::Reader message);
+  void SendSettle(const std::string& coordinator, const TurnBudget& turn,
                   programs::Tokens used, const std::string& server);
 
   net::EventLoop*                m_loop;
   const Thresholds*              m_thresholds;
   programs::Membership*          m_members;
   PeerNetwork*                   m_network;
-  std::vector<TokenCoordinator>* m_desks;  // by partition of the claims
+  std::vector<TokenCoordinator>* m_coordinators;  // by claim partition
   RateLimiter*                   m_limiter;
-  TurnStore*                     m_keeper;
-  PeerTurns                      m_turns;
+  TurnStore*                     m_turn_store;
+  PeerTurns                      m_peer_turns;
   Backends*                      m_backends;
-  AdmissionService*              m_room;
-  // Turns reserved here for other nodes, by the session they came over.
+  AdmissionService*              m_admission;
+  // Turns reserved here for other nodes, by their connection.
   std::unordered_map<PeerNetwork::ConnectionId, std::vector<TurnBudget>>
                                             m_reserved;
-  // Questions for a reservation that were given up, by number.
-  std::map<std::uint64_t, TurnBudget>       m_given_up;
-  Backends::ServerReports                   m_told;
-  Time                                      m_told_at = 0;
-  Time                                      m_outage_told_at = 0;
-  AdmissionService::UsageByService          m_room_told;
-  Time                                      m_room_told_at = 0;
-  // Of the claims' partitions; ranking them takes all nodes.
-  std::map<std::string, programs::NodeInfo> m_other_homes;  // by name
-  Time                                      m_homes_found_at = 0;
-  std::optional<Time> m_log_away_at;  // for this node, last
+  // Reserve requests that timed out, by request number.
+  std::map<std::uint64_t, TurnBudget>       m_abandoned;
+  Backends::ServerReports                   m_sent_report;
+  Time                                      m_report_sent_at = 0;
+  Time                                      m_outage_sent_at = 0;
+  AdmissionService::UsageByService          m_sent_usage;
+  Time                                      m_usage_sent_at = 0;
+  // Coordinators of the claim partitions; cached because ranking visits all
+  // nodes.
+  std::map<std::string, programs::NodeInfo> m_other_coordinators;  // by name
+  Time                                      m_coordinators_found_at = 0;
+  std::optional<Time> m_log_unavailable_at;  // last time on this node
   bool                m_log_reachable = true;
-  std::optional<Time> m_alone_since;
+  std::optional<Time> m_isolated_since;
 };
 
 }  // namespace yuccawick::gateway
--- a/src/yuccawick/gateway/peer_turns.cc
+++ b/src/yuccawick/gateway/peer_turns.cc
@@ -23,12 +23,13 @@
 }
 
 void PeerTurns::MarkLogUnavailable(const std::string& node) {
-  m_without_log[node] = m_loop->now();
-  // This node may not have noticed: it would be asked to append for others.
+  m_log_unavailable_at[node] = m_loop->now();
+  // Checks whether this node is affected too: otherwise it would keep receiving
+  // requests to append for others.
   m_turns->reader().Probe();
 }
 
-std::vector<NodeInfo> PeerTurns::WhoReachLog() const {
+std::vector<NodeInfo> PeerTurns::NodesReachingLog() const {
   auto nodes = m_members->Others();
   std::erase_if(nodes, [this](const NodeInfo& node) {
     return ReportedLogUnavailable(node.name);
@@ -37,15 +38,16 @@
 }
 
 bool PeerTurns::ReportedLogUnavailable(const std::string& node) const {
-  const auto said = m_without_log.find(node);
-  return said != m_without_log.end() &&
-         m_loop->now() - said->second < m_thresholds->outage_memory;
+  const auto reported = m_log_unavailable_at.find(node);
+  return reported != m_log_unavailable_at.end() &&
+         m_loop->now() - reported->second < m_thresholds->outage_memory;
 }
 
-// Bytes between zones are dear, but a zone may lose the log as a whole.
+// One relay outside the zone is enough: traffic between zones is expensive, but
+// a whole zone may lose the log at once.
 std::vector<NodeInfo> PeerTurns::ChooseRelays(std::size_t attempt) const {
-  auto       nodes = WhoReachLog();
-  const auto far = std::stable_partition(
+  auto       nodes = NodesReachingLog();
+  const auto other_zones = std::stable_partition(
       nodes.begin(), nodes.end(), [this](const NodeInfo& node) {
         return node.zone == m_members->self().zone;
       });
@@ -55,8 +57,8 @@
     if (count == 0) return;
     chosen.push_back(begin[static_cast<std::ptrdiff_t>(attempt % count)]);
   };
-  choose(nodes.begin(), far);
-  choose(far, nodes.end());
+  choose(nodes.begin(), other_zones);
+  choose(other_zones, nodes.end());
   return chosen;
 }
 
@@ -67,48 +69,50 @@
     done(std::nullopt);
     return;
   }
-  auto       left = std::make_shared<std::size_t>(nodes.size());
-  auto       waiting = std::make_shared<AppendDone>(std::move(done));
-  const auto answered = [this, left, waiting](
-                            const std::string&                 node,
-                            std::optional<PeerMessage::Reader> answer) {
-    --*left;
-    std::optional<LogPosition> kept;
-    if (answer && answer->isTurnKept()) {
-      const auto place = answer->getTurnKept();
-      kept = LogPosition{place.getPartition(), place.getOffset(), true};
+  auto       remaining = std::make_shared<std::size_t>(nodes.size());
+  auto       pending = std::make_shared<AppendDone>(std::move(done));
+  const auto on_response = [this, remaining, pending](
+                               const std::string&                 node,
+                               std::optional<PeerMessage::Reader> response) {
+    --*remaining;
+    std::optional<LogPosition> position;
+    if (response && response->isTurnKept()) {
+      const auto turn_kept = response->getTurnKept();
+      position =
+          LogPosition{turn_kept.getPartition(), turn_kept.getOffset(), true};
     } else {
       MarkLogUnavailable(node);
     }
-    if (!kept && *left > 0) return;
-    if (const auto told = std::exchange(*waiting, nullptr)) told(kept);
+    if (!position && *remaining > 0) return;
+    if (const auto callback = std::exchange(*pending, nullptr))
+      callback(position);
   };
   for (const NodeInfo& node : nodes) {
     m_network->SendRequest(
         node,
         [&](PeerMessage::Builder message) {
-          auto keep = message.initKeepTurn();
-          programs::Write(turn, keep.initTurn());
-          keep.setRetentionMs(retention);
+          auto request = message.initKeepTurn();
+          programs::Write(turn, request.initTurn());
+          request.setRetentionMs(retention);
         },
         m_thresholds->relay_timeout,
-        [answered,
-         name = node.name](std::optional<PeerMessage::Reader> answer) {
-          answered(name, answer);
+        [on_response,
+         name = node.name](std::optional<PeerMessage::Reader> response) {
+          on_response(name, response);
         });
   }
 }
 
-void PeerTurns::AskForTurn(const std::string&                id,
-                           std::function<void(const Turns&)> done) {
-  // Suspected nodes may hold it as well, and may answer by now.
+void PeerTurns::RequestTurn(const std::string&                id,
+                            std::function<void(const Turns&)> done) {
+  // Includes suspected nodes: they may hold the turn and respond again.
   const auto others = m_members->All();
   if (others.empty()) {
     done({});
     return;
   }
-  auto left = std::make_shared<std::size_t>(others.size());
-  auto ended = std::make_shared<bool>(false);
+  auto remaining = std::make_shared<std::size_t>(others.size());
+  auto completed = std::make_shared<bool>(false);
   auto found = std::make_shared<Turns>();
   for (const NodeInfo& node : others) {
     m_network->SendRequest(
@@ -119,47 +123,47 @@
           find.setPartition(kNoPartition);
         },
         m_thresholds->find_timeout,
-        [left, ended, found, done](std::optional<PeerMessage::Reader> answer) {
-          --*left;
-          if (*ended) return;
-          if (answer && answer->isTurnFound()) {
-            for (const auto& turn : answer->getTurnFound().getTurns()) {
+        [remaining, completed, found,
+         done](std::optional<PeerMessage::Reader> response) {
+          --*remaining;
+          if (*completed) return;
+          if (response && response->isTurnFound()) {
+            for (const auto& turn : response->getTurnFound().getTurns()) {
               found->push_back(programs::Read(turn));
             }
           }
-          if (found->empty() && *left > 0) return;
-          *ended = true;
+          if (found->empty() && *remaining > 0) return;
+          *completed = true;
           done(*found);
         });
   }
 }
 
-// A reader that has been cut from the log for a while, or is on a small VM, may
-// read for seconds (8 at 30 Mbit/s, with 11 MB to read). All questions of the
-// zone would wait for it, though the second one knows the answers.
-std::vector<NodeInfo> PeerTurns::ReadersOf(int partition) const {
+// Readers that are still catching up are ranked last. Otherwise all lookups of
+// the zone would wait for them although the other reader may have caught up.
+std::vector<NodeInfo> PeerTurns::RankReaders(int partition) const {
   auto readers =
       m_members->RankCoordinators("turns " + std::to_string(partition));
   std::erase_if(readers, [this](const NodeInfo& node) {
     return node.zone != m_members->self().zone;
   });
-  if (readers.size() > kReadersOfZone) readers.resize(kReadersOfZone);
+  if (readers.size() > kReadersPerZone) readers.resize(kReadersPerZone);
   std::stable_partition(
       readers.begin(), readers.end(), [this](const NodeInfo& node) {
-        const auto said = m_still_reads.find(node.name);
-        return said == m_still_reads.end() ||
-               m_loop->now() - said->second >= m_thresholds->reading_memory;
+        const auto reported = m_still_reading_at.find(node.name);
+        return reported == m_still_reading_at.end() ||
+               m_loop->now() - reported->second >= m_thresholds->reading_memory;
       });
   return readers;
 }
 
-ReaderLocation PeerTurns::AskReader(int partition, const std::string& id,
-                                    std::size_t                        rank,
-                                    std::function<void(const Lookup&)> done) {
-  const auto readers = ReadersOf(partition);
-  if (rank >= readers.size()) return ReaderLocation::kNobody;
+ReaderLocation PeerTurns::RequestLookup(
+    int partition, const std::string& id, std::size_t rank,
+    std::function<void(const Lookup&)> done) {
+  const auto readers = RankReaders(partition);
+  if (rank >= readers.size()) return ReaderLocation::kNone;
   const NodeInfo& reader = readers[rank];
-  if (reader.name == m_members->self().name) return ReaderLocation::kSelf;
+  if (reader.name == m_members->self().name) return ReaderLocation::kThisNode;
   m_network->SendRequest(
       reader,
       [&](PeerMessage::Builder message) {
@@ -169,36 +173,37 @@
       },
       m_thresholds->reader_timeout,
       [this, name = reader.name,
-       done](std::optional<PeerMessage::Reader> answer) {
+       done](std::optional<PeerMessage::Reader> response) {
         Lookup lookup;
-        if (answer && answer->isTurnFound()) {
-          const auto found = answer->getTurnFound();
+        if (response && response->isTurnFound()) {
+          const auto found = response->getTurnFound();
           lookup.answered = true;
           lookup.complete = found.getComplete();
           lookup.reading = found.getReading();
-          if (lookup.reading) m_still_reads[name] = m_loop->now();
+          if (lookup.reading) m_still_reading_at[name] = m_loop->now();
           for (const auto& turn : found.getTurns()) {
             lookup.turns.push_back(programs::Read(turn));
           }
         }
         done(lookup);
       });
-  return ReaderLocation::kAnother;
+  return ReaderLocation::kOtherNode;
 }
 
 void PeerTurns::ServePersist(PeerMessage::Reader       message,
                              const PeerNetwork::Reply& reply) {
-  const auto keep = message.getKeepTurn();
-  m_turns->PersistForPeer(programs::Read(keep.getTurn()), keep.getRetentionMs(),
-                          [reply](std::optional<LogPosition> kept) {
-                            reply([kept](PeerMessage::Builder answer) {
-                              if (!kept) {
-                                answer.setTurnNotKept();
+  const auto request = message.getKeepTurn();
+  m_turns->PersistForPeer(programs::Read(request.getTurn()),
+                          request.getRetentionMs(),
+                          [reply](std::optional<LogPosition> position) {
+                            reply([position](PeerMessage::Builder response) {
+                              if (!position) {
+                                response.setTurnNotKept();
                                 return;
                               }
-                              auto turn_kept = answer.initTurnKept();
-                              turn_kept.setPartition(kept->partition);
-                              turn_kept.setOffset(kept->offset);
+                              auto turn_kept = response.initTurnKept();
+                              turn_kept.setPartition(position->partition);
+                              turn_kept.setOffset(position->offset);
                             });
                           });
 }
@@ -209,39 +214,39 @@
   const int         partition = message.getFindTurn().getPartition();
   if (partition < 0 || partition >= kTurnPartitions ||
       m_turns->history().Holds(id)) {
-    // What this node does not hold, it has not looked for.
-    AnswerFind(id, ReadState::kIncomplete, reply);
+    // Memory alone cannot prove that a turn does not exist.
+    RespondToFind(id, ReadState::kIncomplete, reply);
     return;
   }
   auto       open = std::make_shared<bool>(true);
-  const auto answer = [this, id, reply, open](ReadState state) {
-    if (std::exchange(*open, false)) AnswerFind(id, state, reply);
+  const auto respond = [this, id, reply, open](ReadState state) {
+    if (std::exchange(*open, false)) RespondToFind(id, state, reply);
   };
-  const auto ended = [answer](bool complete) {
-    answer(complete ? ReadState::kComplete : ReadState::kIncomplete);
+  const auto completed = [respond](bool complete) {
+    respond(complete ? ReadState::kComplete : ReadState::kIncomplete);
   };
-  // An asker that hears nothing would take this node for lost.
+  // Respond before the requester times out and suspects this node.
   m_loop->After(m_thresholds->reader_answer,
-                [answer] { answer(ReadState::kReading); });
+                [respond] { respond(ReadState::kReading); });
   TurnReader& reader = m_turns->reader();
   if (reader.KnowsPositionOf(id)) {
-    reader.Fetch(id,
-                 [this, id, ended] { ended(m_turns->history().Holds(id)); });
+    reader.Fetch(
+        id, [this, id, completed] { completed(m_turns->history().Holds(id)); });
   } else {
-    reader.Scan(partition, ended, id);
+    reader.Scan(partition, completed, id);
   }
 }
 
-void PeerTurns::AnswerFind(const std::string& id, ReadState state,
-                           const PeerNetwork::Reply& reply) {
-  const auto line = m_turns->history().CollectChain(id);
-  reply([&line, state](PeerMessage::Builder answer) {
-    auto found = answer.initTurnFound();
+void PeerTurns::RespondToFind(const std::string& id, ReadState state,
+                              const PeerNetwork::Reply& reply) {
+  const auto chain = m_turns->history().CollectChain(id);
+  reply([&chain, state](PeerMessage::Builder response) {
+    auto found = response.initTurnFound();
     found.setComplete(state == ReadState::kComplete);
     found.setReading(state == ReadState::kReading);
-    auto     turns = found.initTurns(static_cast<unsigned>(line.size()));
-    unsigned at = 0;
-    for (const Turn* turn : line) programs::Write(*turn, turns[at++]);
+    auto     turns = found.initTurns(static_cast<unsigned>(chain.size()));
+    unsigned i = 0;
+    for (const Turn* turn : chain) programs::Write(*turn, turns[i++]);
   });
 }
 
--- a/src/yuccawick/gateway/peer_turns.h
+++ b/src/yuccawick/gateway/peer_turns.h
@@ -1,9 +1,9 @@
-// What nodes do for each other's turns: append one for a node that the log does
-// not answer, look for a turn in memory, and read a partition of the log for
-// their zone.
+// Exchanges turns between nodes: appends a turn for a node that cannot reach
+// the log, looks up a turn in other nodes' memory, and reads a log partition on
+// behalf of a zone.
 //
-// Asking: the functions of TurnPeers, for this node's TurnStore. Serving: the
-// questions of others, from the same TurnStore.
+// The TurnPeers functions send the requests of the local TurnStore; the Serve
+// functions answer the requests of other nodes from it.
 #pragma once
 
 #include <cstdint>
@@ -18,7 +18,7 @@
 
 namespace yuccawick::gateway {
 
-// Stands in a search for the memory of a node in place of a partition.
+// Partition number of a lookup that searches a node's memory only.
 inline constexpr int kNoPartition = -1;
 
 class PeerTurns final : public TurnPeers {
@@ -27,17 +27,17 @@
             programs::Membership* members, PeerNetwork* network,
             TurnStore* turns);
 
-  void           AskForTurn(const std::string&                id,
-                            std::function<void(const Turns&)> done) override;
-  ReaderLocation AskReader(int partition, const std::string& id,
-                           std::size_t                        rank,
-                           std::function<void(const Lookup&)> done) override;
-  bool AnyReachesLog() const override { return !WhoReachLog().empty(); }
+  void           RequestTurn(const std::string&                id,
+                             std::function<void(const Turns&)> done) override;
+  ReaderLocation RequestLookup(
+      int partition, const std::string& id, std::size_t rank,
+      std::function<void(const Lookup&)> done) override;
+  bool AnyReachesLog() const override { return !NodesReachingLog().empty(); }
   void AppendFor(const programs::Turn& turn, Duration retention,
                  std::size_t attempt, AppendDone done) override;
-  // The node said that the log does not answer it, or could not append.
+  // The node reported the log unavailable, or could not append.
   void MarkLogUnavailable(const std::string& node);
-  // Whether it said so lately.
+  // Whether it did so within `outage_memory`.
   bool ReportedLogUnavailable(const std::string& node) const;
 
   void ServePersist(PeerMessage::Reader       message,
@@ -45,16 +45,16 @@
   void ServeFind(PeerMessage::Reader message, const PeerNetwork::Reply& reply);
 
  private:
-  // How far this node has read a partition that it reads for its zone.
+  // How far this node has read a partition on behalf of its zone.
   enum class ReadState : std::uint8_t { kIncomplete, kReading, kComplete };
-  // Who reads the partition for this zone, the first choice first.
-  std::vector<programs::NodeInfo> ReadersOf(int partition) const;
-  void AnswerFind(const std::string& id, ReadState state,
-                  const PeerNetwork::Reply& reply);
-  // Nodes that the log seems to answer.
-  std::vector<programs::NodeInfo> WhoReachLog() const;
-  // Two of them for an attempt: one of this zone and one of another, if there
-  // are such; others at the next attempt.
+  // The nodes that read the partition for this zone, in order of preference.
+  std::vector<programs::NodeInfo> RankReaders(int partition) const;
+  void RespondToFind(const std::string& id, ReadState state,
+                     const PeerNetwork::Reply& reply);
+  // Nodes that have not reported the log unavailable lately.
+  std::vector<programs::NodeInfo> NodesReachingLog() const;
+  // Chooses up to two of these nodes, one of this zone and one of another; a
+  // different pair at each attempt.
   std::vector<programs::NodeInfo> ChooseRelays(std::size_t attempt) const;
 
   net::EventLoop*                       m_loop;
@@ -62,10 +62,10 @@
   programs::Membership*                 m_members;
   PeerNetwork*                          m_network;
   TurnStore*                            m_turns;
-  // When each node was last without the log.
-  std::unordered_map<std::string, Time> m_without_log;
-  // When each reader last said that it still reads.
-  std::unordered_map<std::string, Time> m_still_reads;
+  // When each node last reported the log unavailable.
+  std::unordered_map<std::string, Time> m_log_unavailable_at;
+  // When each reader last reported that it is still reading.
+  std::unordered_map<std::string, Time> m_still_reading_at;
 };
 
 }  // namespace yuccawick::gateway
--- a/src/yuccawick/gateway/rate_coordinator.cc
+++ b/src/yuccawick/gateway/rate_coordinator.cc
@@ -8,8 +8,6 @@
 
 #include "yuccawick/programs/record.h"
 
-// Index: Asking, Claiming, Opening and reading.
-
 namespace yuccawick::gateway {
 namespace {
 
@@ -20,17 +18,16 @@
 using workspaces::RateRequest;
 using workspaces::RateResponse;
 
-// Records before its own first one that a desk reads: some seconds' claims.
+// Records read before the first own record; raised while they are too few.
 constexpr std::int64_t kTailRecords = 64;
-// With so many a window is covered in any case: no home claims more often than
-// the log takes appends, some 5 ms.
-constexpr std::int64_t kMostTail = 4096;
-// With more than this in between, it is as well to open anew.
-constexpr std::int64_t kMostBetween = 256;
-// Between two claims, in ms: some calls of the log, so that one claim serves
-// many questions.
-constexpr Duration     kClaimPause = 20;
-constexpr Duration     kLongestClaimPause = 250;  // a quarter of a token's life
+// Upper bound for this number; covers a rate window even if each log append
+// carries a claim.
+constexpr std::int64_t kMaxTailRecords = 4096;
+// Records between two own claims above which it is cheaper to reopen.
+constexpr std::int64_t kMaxRecordsBetween = 256;
+// Least time between two claims, in ms, so that one serves many requests.
+constexpr Duration     kMinClaimInterval = 20;
+constexpr Duration     kMaxClaimInterval = 250;  // ms
 constexpr std::size_t  kPageBytes = 64UL * 1024;
 
 }  // namespace
@@ -47,7 +44,7 @@
 RateCoordinator::RateCoordinator(
     net::EventLoop* loop, const Thresholds* thresholds,
     platform::RecordLog* store, Log* log, std::string incarnation,
-    int partition, const workspaces::RateLedger::LimitLookup& limit_of,
+    int partition, const workspaces::RateLedger::LimitLookup& limit_lookup,
     const workspaces::RateWindow& window)
     : m_loop(loop),
       m_thresholds(thresholds),
@@ -56,94 +53,95 @@
       m_log(log),
       m_incarnation(std::move(incarnation)),
       m_partition(partition),
-      m_home(limit_of, window),
+      m_allocator(limit_lookup, window),
       m_appender(loop, thresholds, store, &m_health, Topic::kRates, partition,
                  m_incarnation) {}
 
-// Asking ---------------------------------------------------------------------
+// Requests -------------------------------------------------------------------
 
-void RateCoordinator::RequestTokens(const RateRequest& ask, Done done) {
-  const std::uint64_t number = ++m_last_question;
-  m_waiting.push_back(
-      {number, m_home.Submit(ask, m_loop->ReadClock()), std::move(done)});
+void RateCoordinator::RequestTokens(const RateRequest& request, Done done) {
+  const std::uint64_t number = ++m_last_request;
+  m_pending.push_back({number, m_allocator.Submit(request, m_loop->ReadClock()),
+                       std::move(done)});
   Serve();
-  const auto waits = std::any_of(
-      m_waiting.begin(), m_waiting.end(),
-      [number](const Waiting& each) { return each.number == number; });
-  if (!waits) return;
-  m_loop->After(m_thresholds->rate_answer, [this, number] { GiveUp(number); });
+  const auto is_pending = std::any_of(
+      m_pending.begin(), m_pending.end(),
+      [number](const PendingRequest& each) { return each.number == number; });
+  if (!is_pending) return;
+  m_loop->After(m_thresholds->rate_answer,
+                [this, number] { AbandonRequest(number); });
 }
 
 void RateCoordinator::Serve() {
   if (m_state != State::kOpen) {
     Open();
-    // A call that hangs is tried again until the log is back; who takes this
-    // node's place may reach it now.
-    if (m_health.unavailable()) AnswerUnsure();
+    // Log calls are retried until the log is back; until then the requester
+    // should try the coordinator next in rank.
+    if (m_health.unavailable()) RespondUnsure();
     return;
   }
   struct Reply {
     Done         done;
-    RateResponse answer;
+    RateResponse response;
   };
-  std::vector<Reply>   replies;
-  std::vector<Waiting> left;
-  for (Waiting& waiting : m_waiting) {
-    if (const auto answer =
-            m_home.TryRespond(waiting.entered, m_loop->ReadClock())) {
-      replies.push_back({std::move(waiting.done), *answer});
+  std::vector<Reply>          replies;
+  std::vector<PendingRequest> undecided;
+  for (PendingRequest& pending : m_pending) {
+    if (const auto response =
+            m_allocator.TryRespond(pending.submitted, m_loop->ReadClock())) {
+      replies.push_back({std::move(pending.done), *response});
     } else {
-      left.push_back(std::move(waiting));
+      undecided.push_back(std::move(pending));
     }
   }
-  m_waiting = std::move(left);
+  m_pending = std::move(undecided);
   Claim();
-  if (m_health.unavailable() && m_claiming) AnswerUnsure();
-  // Last: whoever is answered may ask again at once.
-  for (const Reply& reply : replies) reply.done(reply.answer);
+  if (m_health.unavailable() && m_claiming) RespondUnsure();
+  // Last, because a callback may call RequestTokens() again.
+  for (const Reply& reply : replies) reply.done(reply.response);
 }
 
-void RateCoordinator::AnswerUnsure() {
+void RateCoordinator::RespondUnsure() {
   RateResponse unsure;
   unsure.unsure = true;
-  for (const Waiting& waiting : std::exchange(m_waiting, {})) {
-    waiting.done(unsure);
+  for (const PendingRequest& pending : std::exchange(m_pending, {})) {
+    pending.done(unsure);
   }
 }
 
-void RateCoordinator::GiveUp(std::uint64_t number) {
+void RateCoordinator::AbandonRequest(std::uint64_t number) {
   const auto found = std::find_if(
-      m_waiting.begin(), m_waiting.end(),
-      [number](const Waiting& each) { return each.number == number; });
-  if (found == m_waiting.end()) return;
+      m_pending.begin(), m_pending.end(),
+      [number](const PendingRequest& each) { return each.number == number; });
+  if (found == m_pending.end()) return;
   const Done done = std::move(found->done);
-  m_waiting.erase(found);
+  m_pending.erase(found);
   RateResponse unsure;
   unsure.unsure = true;
   done(unsure);
 }
 
 void RateCoordinator::Sweep() {
-  m_home.Sweep(m_loop->now());
+  m_allocator.Sweep(m_loop->now());
   if (m_state == State::kOpen && !m_claiming) {
-    SendClaim(m_home.NextReleases(m_loop->now()));
+    SendClaim(m_allocator.NextReleases(m_loop->now()));
   }
 }
 
 void RateCoordinator::LogRefusals() {
-  for (const auto& use : m_home.TakeRefusalReports(m_loop->now())) {
+  for (const auto& report : m_allocator.TakeRefusalReports(m_loop->now())) {
     m_log->Write(LogEvent::kLimit,
-                 {{"workspace", use.workspace},
-                  {"turned_away", use.refused},
-                  {"asked_per_s", static_cast<int>(use.asked_per_second)},
-                  {"allowance", static_cast<int>(use.allowance)},
-                  {"left", static_cast<int>(use.left)},
-                  {"claimed_ahead", use.pool},
-                  {"program_needs", static_cast<int>(use.need)}});
+                 {{"workspace", report.workspace},
+                  {"turned_away", report.refused},
+                  {"asked_per_s", static_cast<int>(report.asked_per_second)},
+                  {"allowance", static_cast<int>(report.allowance)},
+                  {"left", static_cast<int>(report.left)},
+                  {"claimed_ahead", report.pool},
+                  {"program_needs", static_cast<int>(report.need)}});
   }
 }
 
-// Claiming -------------------------------------------------------------------
+// Claims ---------------------------------------------------------------------
 
 void RateCoordinator::Append(
     const RateRecord&                                record,
@@ -154,26 +152,26 @@
                  });
 }
 
-// All homes of a partition together claim about as often, however many there
-// are. Nodes that do not reach each other take each the others' place: twelve
-// of them, each claiming as soon as its last claim was in, took the log's
-// appends to their limit, and nobody's tokens came in time.
-Duration RateCoordinator::ClaimPause() const {
-  return std::min(kClaimPause * (1 + m_others), kLongestClaimPause);
+// Keeps the total rate of claims constant when several nodes coordinate the
+// same partition, as nodes do that cannot reach each other. Otherwise their
+// claims could use up the appends that the log accepts, and all tokens would
+// arrive late.
+Duration RateCoordinator::ClaimInterval() const {
+  return std::min(kMinClaimInterval * (1 + m_other_records), kMaxClaimInterval);
 }
 
 void RateCoordinator::Claim() {
-  if (m_claiming || m_claim_due) return;
-  const Duration wait = m_claimed_at + ClaimPause() - m_loop->now();
+  if (m_claiming || m_claim_scheduled) return;
+  const Duration wait = m_claimed_at + ClaimInterval() - m_loop->now();
   if (wait <= 0) {
-    SendClaim(m_home.NextClaim(ClaimPause(), m_loop->now()));
+    SendClaim(m_allocator.NextClaim(ClaimInterval(), m_loop->now()));
     return;
   }
-  m_claim_due = true;
+  m_claim_scheduled = true;
   m_loop->After(wait, [this] {
-    m_claim_due = false;
+    m_claim_scheduled = false;
     if (m_state != State::kOpen || m_claiming) return;
-    SendClaim(m_home.NextClaim(ClaimPause(), m_loop->now()));
+    SendClaim(m_allocator.NextClaim(ClaimInterval(), m_loop->now()));
   });
 }
 
@@ -184,36 +182,39 @@
   m_claiming = true;
   m_claimed_at = m_loop->now();
   Append(record, [this, record, sent = m_loop->now()](auto offset) {
-    ClaimAppended(record, sent, offset);
+    OnClaimAppended(record, sent, offset);
   });
 }
 
-void RateCoordinator::ClaimAppended(const RateRecord& record, Time sent,
-                                    std::optional<std::int64_t> offset) {
-  if (!offset || *offset < m_next || *offset - m_next > kMostBetween) {
+void RateCoordinator::OnClaimAppended(const RateRecord& record, Time sent,
+                                      std::optional<std::int64_t> offset) {
+  if (!offset || *offset < m_next_offset ||
+      *offset - m_next_offset > kMaxRecordsBetween) {
     Close();
     return;
   }
   m_last_offset = *offset;
   m_last_acked = m_loop->now();
-  m_others = *offset - m_next;
-  const Claimed claimed{record, sent, *offset};
+  m_other_records = *offset - m_next_offset;
+  const PendingClaim pending_claim{record, sent, *offset};
   ReadUpTo(
-      m_next, *offset,
+      m_next_offset, *offset,
       [this](const platform::LogRecord& raw) {
         auto other = programs::DecodeRate(raw.value);
         if (!other) return;
-        m_home.ledger().Apply({raw.offset, std::move(*other)}, m_loop->now());
+        m_allocator.ledger().Apply({raw.offset, std::move(*other)},
+                                   m_loop->now());
       },
-      [this, claimed] { TakeClaimed(claimed); });
+      [this, pending_claim] { ApplyClaim(pending_claim); });
 }
 
-void RateCoordinator::TakeClaimed(const Claimed& claimed) {
-  m_next = claimed.offset + 1;
+void RateCoordinator::ApplyClaim(const PendingClaim& pending_claim) {
+  m_next_offset = pending_claim.offset + 1;
   m_claiming = false;
-  const workspaces::LoggedRate claim{claimed.offset, claimed.record};
-  m_home.ledger().Apply(claim, m_loop->now());
-  m_home.OnGranted(claim, claimed.sent, m_loop->now());
+  const workspaces::LoggedRate claim{pending_claim.offset,
+                                     pending_claim.record};
+  m_allocator.ledger().Apply(claim, m_loop->now());
+  m_allocator.OnGranted(claim, pending_claim.sent, m_loop->now());
   Serve();
 }
 
@@ -222,13 +223,13 @@
 void RateCoordinator::Close() {
   m_state = State::kClosed;
   m_claiming = false;
-  if (!m_waiting.empty()) Open();
+  if (!m_pending.empty()) Open();
 }
 
 void RateCoordinator::Open() {
   if (m_state != State::kClosed || m_appender.busy()) return;
   m_state = State::kOpening;
-  // Claims nothing; tells where the log ends.
+  // An empty claim; its offset is the end of the log.
   const RateRecord record{m_incarnation, -1, m_loop->now(), 0, {}};
   Append(record, [this](std::optional<std::int64_t> offset) {
     if (!offset) {
@@ -242,7 +243,7 @@
 }
 
 // Reads the last `count` records before `end`, and more if they do not cover a
-// window. What the log has deleted by age is older than that.
+// rate window. Records that the log has deleted by age are older than that.
 void RateCoordinator::ReadBack(std::int64_t end, std::int64_t count) {
   const auto before = std::make_shared<std::vector<workspaces::LoggedRate>>();
   const std::int64_t from = std::max<std::int64_t>(0, end - count);
@@ -254,49 +255,50 @@
       },
       [this, before, end, count, from] {
         const auto ages = workspaces::LeastAges(*before);
-        const bool whole = from == 0 || ages.empty() ||
-                           before->front().offset > from ||
-                           ages.front() >= m_home.ledger().Span();
-        if (!whole && count < kMostTail) {
+        const bool covered = from == 0 || ages.empty() ||
+                             before->front().offset > from ||
+                             ages.front() >= m_allocator.ledger().Span();
+        if (!covered && count < kMaxTailRecords) {
           ReadBack(end, 4 * count);
           return;
         }
-        m_home.ledger().Begin(*before, m_loop->now());
-        m_next = end + 1;
+        m_allocator.ledger().Begin(*before, m_loop->now());
+        m_next_offset = end + 1;
         m_state = State::kOpen;
         Serve();
       });
 }
 
 void RateCoordinator::ReadUpTo(std::int64_t from, std::int64_t to,
-                               const TakeRecord&            take,
+                               const RecordCallback&        on_record,
                                const std::function<void()>& done) {
   if (from >= to) {
     done();
     return;
   }
-  m_store->Read(
-      Topic::kRates, m_partition, {from, kPageBytes}, m_thresholds->log_timeout,
-      [this, from, to, take,
-       done](const StoreResult<platform::ReadPage>& result) {
-        const bool gone =
-            !result && result.error().failure == StoreFailure::kExpired;
-        m_health.Observe(result.has_value() || gone, "read");
-        // While opening, what was deleted is only not recovered from; later it
-        // may be a claim that was never taken.
-        if (gone && m_state == State::kOpening && result.error().first > from) {
-          ReadUpTo(result.error().first, to, take, done);
-          return;
-        }
-        if (!result || result->records.empty()) {
-          Close();
-          return;
-        }
-        for (const auto& record : result->records) {
-          if (record.offset < to) take(record);
-        }
-        ReadUpTo(result->next, to, take, done);
-      });
+  m_store->Read(Topic::kRates, m_partition, {from, kPageBytes},
+                m_thresholds->log_timeout,
+                [this, from, to, on_record,
+                 done](const StoreResult<platform::ReadPage>& result) {
+                  const bool expired = !result && result.error().failure ==
+                                                      StoreFailure::kExpired;
+                  m_health.Observe(result.has_value() || expired, "read");
+                  // Deleted records do no harm while opening; later, a claim
+                  // that was never applied may be among them.
+                  if (expired && m_state == State::kOpening &&
+                      result.error().first > from) {
+                    ReadUpTo(result.error().first, to, on_record, done);
+                    return;
+                  }
+                  if (!result || result->records.empty()) {
+                    Close();
+                    return;
+                  }
+                  for (const auto& record : result->records) {
+                    if (record.offset < to) on_record(record);
+                  }
+                  ReadUpTo(result->next, to, on_record, done);
+                });
 }
 
 }  // namespace yuccawick::gateway
--- a/src/yuccawick/gateway/rate_coordinator.h
+++ b/src/yuccawick/gateway/rate_coordinator.h
@@ -1,10 +1,10 @@
-// Carries out workspaces/rate_allocator.h for one partition of the rate claims:
-// appends claims to the platform's log, and reads what others claimed in
-// between.
+// Runs a workspaces::RateAllocator for one rate partition: appends its claims
+// to the platform log and reads the claims of other nodes. One claim is pending
+// at a time.
 //
-// A desk opens with an append of its own, then reads the last records before
-// it; from there on it reads only if its next claim does not follow its last
-// one. One claim is under way at a time.
+// It opens with an empty append, which returns the end of the log, and reads
+// the records before it. Later it reads only when records of other nodes lie
+// between its own claims.
 #pragma once
 
 #include <functional>
@@ -22,11 +22,11 @@
 using net::Duration;
 using net::Time;
 
-// Partitions of the rate claims. Fewer than of the claims on budgets: one claim
-// serves all workspaces of its partition, so fewer homes make fewer calls.
+// Partitions of the rates topic. One claim serves all workspaces of its
+// partition, so fewer coordinators need fewer log calls.
 inline constexpr int kRatePartitions = 4;
 int                  RatePartitionOf(const std::string& workspace);
-// What the homes of a partition are ranked by.
+// Key by which the coordinators of a partition are ranked.
 std::string          RateCoordinatorKey(int partition);
 
 class RateCoordinator {
@@ -36,51 +36,52 @@
   RateCoordinator(net::EventLoop* loop, const Thresholds* thresholds,
                   platform::RecordLog* store, Log* log, std::string incarnation,
                   int                                        partition,
-                  const workspaces::RateLedger::LimitLookup& limit_of,
+                  const workspaces::RateLedger::LimitLookup& limit_lookup,
                   const workspaces::RateWindow&              window);
 
-  // `done` is called once, within `rate_answer` ms.
-  void RequestTokens(const workspaces::RateRequest& ask, Done done);
-  // Makes ready for questions, so that the first does not wait.
+  // Calls `done` once, within `rate_answer` ms.
+  void RequestTokens(const workspaces::RateRequest& request, Done done);
+  // Opens in advance, so that the first request does not wait.
   void Open();
-  // Forgets what is old, and gives back what was not used.
+  // Removes expired state and releases unused tokens.
   void Sweep();
   void LogRefusals();
 
-  workspaces::RateAllocator& allocator() { return m_home; }
+  workspaces::RateAllocator& allocator() { return m_allocator; }
 
  private:
   enum class State : std::uint8_t { kClosed, kOpening, kOpen };
-  struct Waiting {
+  struct PendingRequest {
     std::uint64_t                               number = 0;
-    workspaces::RateAllocator::SubmittedRequest entered;
+    workspaces::RateAllocator::SubmittedRequest submitted;
     Done                                        done;
   };
-  // A claim in the log, behind others that are still to be read.
-  struct Claimed {
+  // A claim in the log that follows records not read yet.
+  struct PendingClaim {
     workspaces::RateRecord record;
     Time                   sent = 0;
     std::int64_t           offset = 0;
   };
-  using TakeRecord = std::function<void(const platform::LogRecord&)>;
+  using RecordCallback = std::function<void(const platform::LogRecord&)>;
 
   void     Serve();
-  void     GiveUp(std::uint64_t number);
-  void     AnswerUnsure();
-  Duration ClaimPause() const;
-  // Claims now, or when the pause after the last claim is over.
+  void     AbandonRequest(std::uint64_t number);
+  void     RespondUnsure();
+  Duration ClaimInterval() const;
+  // Claims now, or once ClaimInterval() has passed since the last claim.
   void     Claim();
   void     SendClaim(std::vector<workspaces::RateEntry> entries);
   void     Append(const workspaces::RateRecord&                    record,
                   std::function<void(std::optional<std::int64_t>)> done);
-  void     ClaimAppended(const workspaces::RateRecord& record, Time sent,
-                         std::optional<std::int64_t> offset);
-  void     TakeClaimed(const Claimed& claimed);
+  void     OnClaimAppended(const workspaces::RateRecord& record, Time sent,
+                           std::optional<std::int64_t> offset);
+  void     ApplyClaim(const PendingClaim& pending_claim);
   void     Close();
   void     ReadBack(std::int64_t end, std::int64_t count);
-  // Reads the records from `from` up to `to`, then calls `done`; closes the
-  // desk if they are not to be had.
-  void     ReadUpTo(std::int64_t from, std::int64_t to, const TakeRecord& take,
+  // Reads the records from `from` up to `to`, then calls `done`; calls Close()
+  // if the read fails.
+  void     ReadUpTo(std::int64_t from, std::int64_t to,
+                    const RecordCallback&        on_record,
                     const std::function<void()>& done);
 
   net::EventLoop*           m_loop;
@@ -90,19 +91,19 @@
   Log*                      m_log;
   std::string               m_incarnation;
   int                       m_partition;
-  workspaces::RateAllocator m_home;
+  workspaces::RateAllocator m_allocator;
   Appender                  m_appender;
   State                     m_state = State::kClosed;
-  std::int64_t              m_next = 0;  // offset after what was taken
-  bool                      m_claiming = false;
-  bool                      m_claim_due = false;  // a timer runs
-  Time                      m_claimed_at = 0;     // sent
-  // Records of other homes between the last two claims of this one.
-  std::int64_t              m_others = 0;
-  std::int64_t              m_last_offset = -1;  // of its own last record
-  Time                      m_last_acked = 0;
-  std::uint64_t             m_last_question = 0;
-  std::vector<Waiting>      m_waiting;
+  std::int64_t  m_next_offset = 0;  // offset of the next record to apply
+  bool          m_claiming = false;
+  bool          m_claim_scheduled = false;  // a timer runs
+  Time          m_claimed_at = 0;           // when the last claim was sent
+  // Records of other nodes between its last two claims.
+  std::int64_t  m_other_records = 0;
+  std::int64_t  m_last_offset = -1;  // of the last own record
+  Time          m_last_acked = 0;
+  std::uint64_t m_last_request = 0;
+  std::vector<PendingRequest> m_pending;
 };
 
 }  // namespace yuccawick::gateway
--- a/src/yuccawick/gateway/token_coordinator.cc
+++ b/src/yuccawick/gateway/token_coordinator.cc
@@ -8,8 +8,6 @@
 
 #include "yuccawick/programs/record.h"
 
-// Index: Asking, Claiming, Reading, Giving back.
-
 namespace yuccawick::gateway {
 namespace {
 
@@ -18,8 +16,8 @@
 using platform::Topic;
 using programs::TokenAnswer;
 
-// As long as the ledger keeps an idle program.
-constexpr Duration kAccountMemory = programs::kLedgerRetention;  // ms
+// Time after which idle accounts are removed; the same as in the ledger.
+constexpr Duration kAccountRetention = programs::kLedgerRetention;  // ms
 
 }  // namespace
 
@@ -42,7 +40,7 @@
                                    const Thresholds*    thresholds,
                                    platform::RecordLog* store, Log* log,
                                    std::string incarnation, int partition,
-                                   AdmissionService* room)
+                                   AdmissionService* admission_service)
     : m_loop(loop),
       m_thresholds(thresholds),
       m_store(store),
@@ -52,97 +50,99 @@
       m_partition(partition),
       m_appender(loop, thresholds, store, &m_health, Topic::kClaims, partition,
                  m_incarnation),
-      m_room(room) {}
+      m_admission(admission_service) {}
 
-// Asking ---------------------------------------------------------------------
+// Reservations ---------------------------------------------------------------
 
 void TokenCoordinator::Reserve(const TurnBudget& turn, Done done) {
   const auto [account, added] = m_accounts.try_emplace(
       turn.program, Account{programs::TokenAccount(turn.budget), 0, {}});
-  account->second.most = turn.max_tokens;
+  account->second.max_tokens = turn.max_tokens;
   const std::uint64_t number = ++m_last_request;
   account->second.waiting.push_back({number, turn, std::move(done)});
-  m_loop->After(
-      m_thresholds->home_answer,
-      [this, program = turn.program, number] { GiveUp(program, number); });
+  m_loop->After(m_thresholds->home_answer,
+                [this, program = turn.program, number] {
+                  AbandonRequest(program, number);
+                });
   Serve(turn.program);
 }
 
 void TokenCoordinator::Serve(const std::string& program) {
-  struct Answer {
+  struct Decision {
     Done           done;
     ReserveOutcome outcome;
   };
-  std::vector<Answer> answers;
-  Account&            account = m_accounts.at(program);
-  account.used = m_loop->now();
-  std::vector<Waiting> left;
-  for (Waiting& request : account.waiting) {
-    const auto outcome = LetIn(&account, &request)
+  std::vector<Decision> decisions;
+  Account&              account = m_accounts.at(program);
+  account.last_used = m_loop->now();
+  std::vector<PendingRequest> undecided;
+  for (PendingRequest& request : account.waiting) {
+    const auto outcome = Admit(&account, &request)
                              ? Decide(&account, request)
                              : std::optional(ReserveOutcome::kNoRoom);
     if (!outcome) {
-      left.push_back(std::move(request));
+      undecided.push_back(std::move(request));
       continue;
     }
-    if (*outcome != ReserveOutcome::kStart) Withdraw(request);
-    answers.push_back({std::move(request.done), *outcome});
+    if (*outcome != ReserveOutcome::kStart) CancelAdmission(request);
+    decisions.push_back({std::move(request.done), *outcome});
   }
-  account.waiting = std::move(left);
+  account.waiting = std::move(undecided);
   const bool unused =
-      !account.begun && !account.claiming && account.waiting.empty();
+      !account.started && !account.claiming && account.waiting.empty();
   if (unused) {
     m_accounts.erase(program);
   } else {
     Balance(program, &account);
   }
-  // Last: whoever is answered may ask again at once.
-  for (const Answer& answer : answers) answer.done(answer.outcome);
+  // Last, because a callback may call Reserve() again.
+  for (const Decision& decision : decisions) decision.done(decision.outcome);
 }
 
-bool TokenCoordinator::LetIn(Account* account, Waiting* request) {
-  // Before the claims are read, no program can be told from a new one.
-  if (request->let_in || !m_caught_up) return true;
-  if (m_room != nullptr) {
-    admission::AdmissionRequest ask = request->turn.admission_request;
-    ask.under_way = ask.under_way || account->begun ||
-                    m_ledger.Granted(request->turn.program) > 0;
-    if (!m_room->TryAdmit(ask)) return false;
+bool TokenCoordinator::Admit(Account* account, PendingRequest* request) {
+  // Until the claims are read, new programs cannot be told from known ones.
+  if (request->admitted || !m_caught_up) return true;
+  if (m_admission != nullptr) {
+    admission::AdmissionRequest admission_request =
+        request->turn.admission_request;
+    admission_request.under_way = admission_request.under_way ||
+                                  account->started ||
+                                  m_ledger.Granted(request->turn.program) > 0;
+    if (!m_admission->TryAdmit(admission_request)) return false;
   }
-  request->let_in = true;
-  account->begun = true;
+  request->admitted = true;
+  account->started = true;
   return true;
 }
 
-void TokenCoordinator::Withdraw(const Waiting& request) {
-  if (m_room != nullptr && request.let_in) {
-    m_room->CancelAdmission(request.turn.admission_request);
+void TokenCoordinator::CancelAdmission(const PendingRequest& request) {
+  if (m_admission != nullptr && request.admitted) {
+    m_admission->CancelAdmission(request.turn.admission_request);
   }
 }
 
 std::optional<ReserveOutcome> TokenCoordinator::Decide(
-    Account* account, const Waiting& request) const {
-  const programs::Tokens most = request.turn.max_tokens;
-  if (account->tokens.Reserve(most) == TokenAnswer::kStart) {
+    Account* account, const PendingRequest& request) const {
+  const programs::Tokens max_tokens = request.turn.max_tokens;
+  if (account->tokens.Reserve(max_tokens) == TokenAnswer::kStart) {
     return ReserveOutcome::kStart;
   }
   if (request.denied) {
-    if (account->tokens.MayFitLater(most)) return std::nullopt;
+    if (account->tokens.MayFitLater(max_tokens)) return std::nullopt;
     return ReserveOutcome::kSpent;
   }
-  // A claim now would go behind one that hangs, or after a reading that does.
-  // Either is tried again until the log is back; who takes this node's place
-  // may reach it now. Were the asker held, each turn of the partition would
-  // wait home_answer for nothing, for as long as this node is cut from the log.
-  const bool hangs = m_appender.busy() || !m_caught_up;
-  if (m_health.unavailable() && hangs) return ReserveOutcome::kUnsure;
+  // Claims and reads are retried until the log is back. Until then each turn
+  // would wait for `home_answer` in vain, so its requester is told at once to
+  // try the coordinator next in rank.
+  const bool stalled = m_appender.busy() || !m_caught_up;
+  if (m_health.unavailable() && stalled) return ReserveOutcome::kUnsure;
   return std::nullopt;
 }
 
-// A home that waits for the log must not look dead to its asker. The request is
-// forgotten: a claim that comes through for it is given back.
-void TokenCoordinator::GiveUp(const std::string& program,
-                              std::uint64_t      number) {
+// Responds before the requester's timeout, so that a coordinator that waits for
+// the log is not suspected. Tokens granted for the request later are released.
+void TokenCoordinator::AbandonRequest(const std::string& program,
+                                      std::uint64_t      number) {
   const auto account = m_accounts.find(program);
   if (account == m_accounts.end()) return;
   auto&      waiting = account->second.waiting;
@@ -151,12 +151,12 @@
       [number](const auto& each) { return each.number == number; });
   if (request == waiting.end()) return;
   const Done done = std::move(request->done);
-  const bool undecided = !request->denied && m_health.unavailable();
-  Withdraw(*request);
+  const bool unavailable = !request->denied && m_health.unavailable();
+  CancelAdmission(*request);
   waiting.erase(request);
-  // What was kept for it may be given back now.
+  // The tokens held for it may be released now.
   Serve(program);
-  done(undecided ? ReserveOutcome::kUnsure : ReserveOutcome::kHold);
+  done(unavailable ? ReserveOutcome::kUnsure : ReserveOutcome::kHold);
 }
 
 std::string TokenCoordinator::LastServer(const std::string& program) const {
@@ -166,29 +166,30 @@
 
 void TokenCoordinator::EndTurn(const TurnBudget& turn, programs::Tokens used,
                                const std::string& server) {
-  if (m_room != nullptr) m_room->OnTurnEnded(turn.admission_request, used);
+  if (m_admission != nullptr)
+    m_admission->OnTurnEnded(turn.admission_request, used);
   const auto found = m_accounts.find(turn.program);
   if (found == m_accounts.end()) return;
   found->second.tokens.EndTurn(turn.max_tokens, used);
   if (!server.empty()) found->second.server = server;
-  // They lack less now; the log may have as much.
-  for (Waiting& request : found->second.waiting) request.denied = false;
+  // They lack fewer tokens now, so a new claim may succeed.
+  for (PendingRequest& request : found->second.waiting) request.denied = false;
   Serve(turn.program);
 }
 
-// Claiming -------------------------------------------------------------------
+// Claims ---------------------------------------------------------------------
 
-// One claim at a time: what a second one should ask for depends on what the
-// first one brings.
+// Only one claim per account is pending at a time, since the size of the next
+// depends on the result.
 void TokenCoordinator::Balance(const std::string& program, Account* account) {
   if (account->claiming) return;
   if (!m_caught_up) {
     if (!account->waiting.empty()) CatchUp();
     return;
   }
-  programs::Tokens  wish = Ahead(*account) - account->tokens.Available();
+  programs::Tokens  wish = TokensAhead(*account) - account->tokens.Available();
   const TurnBudget* first = nullptr;
-  for (const Waiting& request : account->waiting) {
+  for (const PendingRequest& request : account->waiting) {
     if (request.denied) continue;
     if (first == nullptr) first = &request.turn;
     wish += request.turn.max_tokens;
@@ -197,30 +198,32 @@
     SendClaim(program, account, first->max_tokens, wish);
   } else if (account->waiting.empty() &&
              account->tokens.Available() <
-                 std::min(account->most, Ahead(*account)) &&
+                 std::min(account->max_tokens, TokensAhead(*account)) &&
              !m_appender.busy()) {
-    SendClaim(program, account, account->most, wish);
+    SendClaim(program, account, account->max_tokens, wish);
   } else if (account->waiting.empty() && account->tokens.Available() > 0) {
-    const Duration keep = Ahead(*account) > 0 ? m_thresholds->ahead_memory
-                                              : m_thresholds->give_back_delay;
-    m_spare[program] = m_loop->now() + keep;
-    GiveBackSpare();
+    const Duration delay = TokensAhead(*account) > 0
+                               ? m_thresholds->ahead_memory
+                               : m_thresholds->give_back_delay;
+    m_release_at[program] = m_loop->now() + delay;
+    ScheduleReleases();
   }
 }
 
-programs::Tokens TokenCoordinator::Ahead(const Account& account) const {
+programs::Tokens TokenCoordinator::TokensAhead(const Account& account) const {
   const auto budget = account.tokens.budget();
-  const bool small = budget < m_thresholds->ahead_turns * account.most;
+  const bool small = budget < m_thresholds->ahead_turns * account.max_tokens;
   if (small || account.spent) return 0;
-  return std::max(account.most, budget / m_thresholds->ahead_divisor);
+  return std::max(account.max_tokens, budget / m_thresholds->ahead_divisor);
 }
 
 void TokenCoordinator::SendClaim(const std::string& program, Account* account,
-                                 programs::Tokens most, programs::Tokens wish) {
-  programs::TokenClaim claim = account->tokens.NextClaim(most);
+                                 programs::Tokens max_tokens,
+                                 programs::Tokens wish) {
+  programs::TokenClaim claim = account->tokens.NextClaim(max_tokens);
   claim.wish = std::max(claim.need, wish);
   claim.program = program;
-  claim.number = ++m_last_number;
+  claim.number = ++m_last_record;
   account->claiming = true;
   m_claims.emplace(claim.number, OpenClaim{program, claim.need});
   SendRecord(std::move(claim));
@@ -233,43 +236,41 @@
   m_appender.Add(
       encoded, [this, encoded, record](const Appender::Result& result) {
         if (result) {
-          RecordAppended(encoded, result->offset);
+          OnRecordAppended(encoded, result->offset);
         } else {
           m_log->Write(LogEvent::kFault, {{"what", "claim refused by the log"},
                                           {"program", record.program},
                                           {"status", result.error().status}});
-          ClaimRefused(record.number);
+          OnClaimRefused(record.number);
         }
       });
 }
 
-// What this node wrote itself it need not read back. Reading each such record
-// made every claim wait for the next reading once a reading had begun: while
-// the log's reads were busy, for 350 ms in place of 12, as long as they stayed
-// so.
-void TokenCoordinator::RecordAppended(const std::string& record,
-                                      std::int64_t       offset) {
-  if (offset < m_next) return;  // a reading was faster
+// Own records are not read back: once a read was pending, every claim would
+// wait for the next read, for as long as the log's reads are slow.
+void TokenCoordinator::OnRecordAppended(const std::string& record,
+                                        std::int64_t       offset) {
+  if (offset < m_next_offset) return;  // already read
   m_appended.emplace(offset, record);
-  if (m_caught_up) TakeAppended();
-  if (m_next > offset) return;
-  // Others wrote in between.
-  m_goal = std::max(m_goal, offset + 1);
+  if (m_caught_up) ApplyAppended();
+  if (m_next_offset > offset) return;
+  // Other nodes' records precede it.
+  m_read_until = std::max(m_read_until, offset + 1);
   ReadClaims();
 }
 
-void TokenCoordinator::TakeAppended() {
-  m_appended.erase(m_appended.begin(), m_appended.lower_bound(m_next));
-  while (!m_appended.empty() && m_appended.begin()->first == m_next) {
+void TokenCoordinator::ApplyAppended() {
+  m_appended.erase(m_appended.begin(), m_appended.lower_bound(m_next_offset));
+  while (!m_appended.empty() && m_appended.begin()->first == m_next_offset) {
     const std::string record = std::move(m_appended.begin()->second);
     m_appended.erase(m_appended.begin());
-    ++m_next;
-    TakeRecord(record);
+    ++m_next_offset;
+    ApplyRecord(record);
   }
 }
 
-void TokenCoordinator::ClaimDecided(std::uint64_t    number,
-                                    programs::Tokens granted) {
+void TokenCoordinator::OnClaimDecided(std::uint64_t    number,
+                                      programs::Tokens granted) {
   const auto claim = m_claims.extract(number);
   if (claim.empty()) return;
   const auto& [program, need] = claim.mapped();
@@ -282,8 +283,8 @@
                                   {"granted", granted}});
   if (granted == 0) {
     account.spent = true;
-    // So would be any that needs as much.
-    for (Waiting& request : account.waiting) {
+    // Any request that lacks as much would be denied too.
+    for (PendingRequest& request : account.waiting) {
       const auto lacks = request.turn.max_tokens - account.tokens.Available();
       request.denied = request.denied || lacks >= need;
     }
@@ -291,27 +292,27 @@
   Serve(program);
 }
 
-// Nobody was granted or denied anything.
-void TokenCoordinator::ClaimRefused(std::uint64_t number) {
+// Ends a claim without a decision: the log refused it or deleted its record.
+void TokenCoordinator::OnClaimRefused(std::uint64_t number) {
   const auto claim = m_claims.extract(number);
   if (claim.empty()) return;
   Account& account = m_accounts.at(claim.mapped().program);
   account.claiming = false;
-  for (const Waiting& request : std::exchange(account.waiting, {})) {
-    Withdraw(request);
+  for (const PendingRequest& request : std::exchange(account.waiting, {})) {
+    CancelAdmission(request);
     request.done(ReserveOutcome::kUnsure);
   }
 }
 
-// Reading --------------------------------------------------------------------
+// Reads ----------------------------------------------------------------------
 
-// Before its first claim a desk reads what others claimed: a claim says how
-// much was granted before it, for readers that find older records deleted.
+// Reads the existing claims before the first own claim: each claim states the
+// tokens granted before it, for readers that find older records deleted.
 void TokenCoordinator::CatchUp() {
   if (!m_reading) ReadPage();
 }
 
-void TokenCoordinator::EndCatchUp() {
+void TokenCoordinator::FinishCatchUp() {
   if (std::exchange(m_caught_up, true)) return;
   std::vector<std::string> programs;
   for (const auto& [program, account] : m_accounts) programs.push_back(program);
@@ -320,30 +321,30 @@
   }
 }
 
-// The log has deleted records that were not read. What is known of the programs
-// they tell of is out of date; later records say what was granted before them.
+// The log has deleted records that were not read. The ledger is out of date and
+// is rebuilt from later records, which state what was granted before them.
 void TokenCoordinator::SkipTo(std::int64_t first) {
-  m_next = first;
+  m_next_offset = first;
   m_ledger = {};
-  // Own claims among them are decided, and nobody can say how.
+  // Own claims among them were decided, but the outcome cannot be read.
   std::vector<std::uint64_t> open;
   for (const auto& [number, claim] : m_claims) open.push_back(number);
   if (!m_appender.busy()) {
-    for (const std::uint64_t number : open) ClaimRefused(number);
+    for (const std::uint64_t number : open) OnClaimRefused(number);
   }
   ReadPage();
 }
 
 void TokenCoordinator::ReadClaims() {
-  if (!m_reading && m_next < m_goal) ReadPage();
+  if (!m_reading && m_next_offset < m_read_until) ReadPage();
 }
 
-// Until the log answers, also if nobody waits for it: a desk that is unsure
-// answers at once and would not learn otherwise that the log is back.
-void TokenCoordinator::ReadAgain() {
-  if (std::exchange(m_read_due, true)) return;
+// Retries even when no request waits: while unavailable, requests are refused
+// at once and would not detect that the log is back.
+void TokenCoordinator::ScheduleRead() {
+  if (std::exchange(m_read_scheduled, true)) return;
   m_loop->After(m_thresholds->log_away_pause, [this] {
-    m_read_due = false;
+    m_read_scheduled = false;
     if (m_caught_up) {
       ReadClaims();
     } else {
@@ -354,52 +355,53 @@
 
 void TokenCoordinator::ReadPage() {
   m_reading = true;
-  m_store->Read(Topic::kClaims, m_partition, {m_next, m_pace.bytes()},
-                m_thresholds->log_timeout,
+  m_store->Read(Topic::kClaims, m_partition,
+                {m_next_offset, m_read_size.bytes()}, m_thresholds->log_timeout,
                 [this, began = m_loop->now()](
                     const StoreResult<platform::ReadPage>& result) {
                   m_reading = false;
                   const Duration took = m_loop->now() - began;
                   if (result) {
-                    m_pace.Answered(took);
+                    m_read_size.Answered(took);
                   } else if (took >= m_thresholds->log_timeout) {
-                    m_pace.Late();
+                    m_read_size.Late();
                   }
-                  const bool gone = !result && result.error().failure ==
-                                                   StoreFailure::kExpired;
-                  m_health.Observe(result.has_value() || gone, "read");
-                  if (gone && result.error().first > m_next) {
+                  const bool expired = !result && result.error().failure ==
+                                                      StoreFailure::kExpired;
+                  m_health.Observe(result.has_value() || expired, "read");
+                  if (expired && result.error().first > m_next_offset) {
                     SkipTo(result.error().first);
                     return;
                   }
                   if (!result) {
-                    ReadAgain();
+                    ScheduleRead();
                     return;
                   }
-                  TakePage(*result);
-                  if (m_next >= result->end) {
-                    EndCatchUp();
+                  ApplyPage(*result);
+                  if (m_next_offset >= result->end) {
+                    FinishCatchUp();
                   } else if (!m_caught_up) {
-                    m_goal = std::max(m_goal, result->end);
+                    m_read_until = std::max(m_read_until, result->end);
                   }
                   ReadClaims();
                 });
 }
 
-void TokenCoordinator::TakePage(const platform::ReadPage& page) {
-  // Taking a record may start the next reading: not from here again.
+void TokenCoordinator::ApplyPage(const platform::ReadPage& page) {
+  // Applying a record may trigger a read; prevents a second one from here.
   m_reading = true;
   for (const auto& record : page.records) {
-    if (record.offset < m_next) continue;  // taken when it was appended
-    m_next = record.offset + 1;
-    TakeRecord(record.value);
+    if (record.offset < m_next_offset)
+      continue;  // applied when it was appended
+    m_next_offset = record.offset + 1;
+    ApplyRecord(record.value);
   }
-  m_next = std::max(m_next, page.next);
-  TakeAppended();
+  m_next_offset = std::max(m_next_offset, page.next);
+  ApplyAppended();
   m_reading = false;
 }
 
-void TokenCoordinator::TakeRecord(const std::string& record) {
+void TokenCoordinator::ApplyRecord(const std::string& record) {
   const auto claim = programs::DecodeClaim(record);
   if (!claim) {
     m_log->Write(LogEvent::kFault, {{"what", "undecodable claim"}});
@@ -407,43 +409,44 @@
   }
   const auto granted = m_ledger.Apply(*claim, m_loop->now());
   if (claim->node != m_incarnation || claim->taken) return;
-  ClaimDecided(claim->number, granted);
+  OnClaimDecided(claim->number, granted);
 }
 
-// Giving back ----------------------------------------------------------------
+// Releases -------------------------------------------------------------------
 
-// A little later: the next turn may need it, and one append takes several.
-void TokenCoordinator::GiveBackSpare() {
-  if (std::exchange(m_give_back_due, true)) return;
+// Delayed, because the next turn may need the tokens, and so that one append
+// carries several releases.
+void TokenCoordinator::ScheduleReleases() {
+  if (std::exchange(m_release_scheduled, true)) return;
   m_loop->After(m_thresholds->give_back_delay, [this] {
-    m_give_back_due = false;
+    m_release_scheduled = false;
     std::vector<std::string> due;
-    for (const auto& [program, time] : m_spare) {
+    for (const auto& [program, time] : m_release_at) {
       if (time <= m_loop->now()) due.push_back(program);
     }
     for (const std::string& program : due) {
-      m_spare.erase(program);
+      m_release_at.erase(program);
       const auto account = m_accounts.find(program);
-      if (account != m_accounts.end()) GiveBack(program, &account->second);
+      if (account != m_accounts.end()) Release(program, &account->second);
     }
-    if (!m_spare.empty()) GiveBackSpare();
+    if (!m_release_at.empty()) ScheduleReleases();
   });
 }
 
-void TokenCoordinator::GiveBack(const std::string& program, Account* account) {
+void TokenCoordinator::Release(const std::string& program, Account* account) {
   if (account->claiming || !account->waiting.empty()) return;
-  const auto spare = account->tokens.ReleaseUnused();
-  if (spare <= 0) return;
-  programs::TokenClaim back;
-  back.number = ++m_last_number;
-  back.program = program;
-  back.wish = -spare;
-  back.taken = true;
-  SendRecord(std::move(back));
+  const auto released = account->tokens.ReleaseUnused();
+  if (released <= 0) return;
+  programs::TokenClaim release;
+  release.number = ++m_last_record;
+  release.program = program;
+  release.wish = -released;
+  release.taken = true;
+  SendRecord(std::move(release));
 }
 
 void TokenCoordinator::ReleaseAllUnused() {
-  for (auto& [program, account] : m_accounts) GiveBack(program, &account);
+  for (auto& [program, account] : m_accounts) Release(program, &account);
 }
 
 void TokenCoordinator::Sweep() {
@@ -451,8 +454,8 @@
   m_ledger.Expire(now);
   std::erase_if(m_accounts, [now](const auto& entry) {
     const Account& account = entry.second;
-    return now - account.used > kAccountMemory && account.waiting.empty() &&
-           !account.claiming;
+    return now - account.last_used > kAccountRetention &&
+           account.waiting.empty() && !account.claiming;
   });
 }
 
--- a/src/yuccawick/gateway/token_coordinator.h
+++ b/src/yuccawick/gateway/token_coordinator.h
@@ -1,19 +1,17 @@
-// Counts the tokens of the agent programs that this node is home of.
+// Reserves tokens for turns within each program's budget, for the programs of
+// one claim partition.
 //
-// Accounts live in memory and claim from the platform's log. Whoever asks for a
-// turn gets an answer soon: at once if the account has room, after one append
-// if not, "hold" if that takes longer than its asker should wait in silence.
+// Accounts are kept in memory and obtain tokens by appending claims to the
+// platform log. Reserve() completes at once if the account has enough tokens,
+// otherwise after one append, or with kHold after `home_answer` ms.
 //
-// No turn runs on tokens that the log has not granted, and an account keeps
-// none that no turn needs. All nodes may lose power at any moment, also while
-// the log is away. Tokens used without a record would be granted a second time
-// after that, and the program would end above its budget; tokens granted and
-// not used would be missing, and a program whose budget holds them would be
-// refused.
+// A turn never runs on tokens that the log has not granted, and unused tokens
+// are released. Otherwise a loss of power on all nodes could grant the same
+// tokens twice, so that a program exceeds its budget, or lose granted tokens,
+// so that a program is refused while its budget lasts.
 //
-// One node counts all programs of a partition of the claims, so that nobody
-// else writes there as a rule: it knows what its append decides without
-// reading.
+// Normally one node coordinates a partition and no other node writes to it, so
+// that the outcome of an append is known without reading the log back.
 #pragma once
 
 #include <cstdint>
@@ -37,138 +35,138 @@
 using net::Duration;
 using net::Time;
 
-// Partitions of the claims; one of a dozen that a topic has on the smallest
-// platform, so that homes are spread over that many nodes.
+// Partitions of the claims topic; the number of nodes that share the
+// coordinator role.
 inline constexpr int kClaimPartitions = 8;
 int                  ClaimPartitionOf(const std::string& program);
-// What the homes of a partition are ranked by.
+// Key by which the coordinators of a partition are ranked.
 std::string          TokenCoordinatorKey(int partition);
 
 enum class ReserveOutcome : std::uint8_t {
-  kUnsure,  // the log does not answer
+  kUnsure,  // the log is unavailable
   kStart,
   kSpent,
-  kHold,    // not decided yet; ask this node again
-  kNoRoom,  // model servers have no room for another program
+  kHold,    // undecided; repeat the request at this node
+  kNoRoom,  // no capacity for another program
 };
 std::string_view Name(ReserveOutcome outcome);
 
 struct TurnBudget {
   std::string                 program;
-  programs::Tokens            budget = 0;      // of the program
-  programs::Tokens            max_tokens = 0;  // that the turn may generate
+  programs::Tokens            budget = 0;      // of the program, tokens
+  programs::Tokens            max_tokens = 0;  // limit of the turn, tokens
   admission::AdmissionRequest admission_request =
-      {};  // that it wants at model servers
+      {};  // capacity needed at model servers
 };
 
 class TokenCoordinator {
  public:
   using Done = std::function<void(ReserveOutcome)>;
 
-  // One desk counts the programs whose claims lie in one partition. `room`:
-  // decides which of them may begin; nullptr: all.
+  // `admission_service` decides which programs may start; nullptr: all may.
   TokenCoordinator(net::EventLoop* loop, const Thresholds* thresholds,
                    platform::RecordLog* store, Log* log,
                    std::string incarnation, int partition,
-                   AdmissionService* room = nullptr);
+                   AdmissionService* admission_service = nullptr);
 
-  // `done` is called once, within `home_answer` ms.
+  // Calls `done` once, within `home_answer` ms.
   void        Reserve(const TurnBudget& turn, Done done);
-  // The turn ended; `used` of its tokens were handed to the client.
-  // `server`: that ran it and holds its prompt; empty: not known.
+  // The turn ended after `used` tokens reached the client. `server`: the server
+  // that ran it and has its prompt cached; empty: unknown.
   void        EndTurn(const TurnBudget& turn, programs::Tokens used,
                       const std::string& server = {});
-  // The server that ran the program's last turn; empty: not known.
+  // The server that ran the program's last turn; empty: unknown.
   std::string LastServer(const std::string& program) const;
-  // The node stops: what it was granted and does not need goes back.
+  // Releases all unused tokens, for the shutdown of the node.
   void        ReleaseAllUnused();
-  // Forgets programs that were idle for long.
+  // Removes accounts that were idle for kAccountRetention.
   void        Sweep();
 
   Duration LogUnavailableFor() const { return m_health.UnavailableFor(); }
   int      partition() const { return m_partition; }
 
  private:
-  struct Waiting {
+  struct PendingRequest {
     std::uint64_t number = 0;
     TurnBudget    turn;
     Done          done;
-    bool          denied = false;  // the log granted its claim nothing
-    bool          let_in = false;  // counted by m_room
+    bool          denied = false;    // its claim was granted nothing
+    bool          admitted = false;  // counted by m_admission
   };
   struct Account {
-    programs::TokenAccount tokens;
-    Time                   used = 0;
-    std::vector<Waiting>   waiting;
-    bool                   claiming = false;
-    programs::Tokens       most = 0;       // of its last turn
-    bool                   spent = false;  // the log granted a claim nothing
-    bool                   begun = false;  // a turn of it was let in
-    std::string            server = {};    // that ran its last turn
+    programs::TokenAccount      tokens;
+    Time                        last_used = 0;
+    std::vector<PendingRequest> waiting;
+    bool                        claiming = false;
+    programs::Tokens            max_tokens = 0;  // of the last turn
+    bool        spent = false;    // some claim was granted nothing
+    bool        started = false;  // some turn was admitted
+    std::string server = {};      // server that ran the last turn
   };
   struct OpenClaim {
     std::string      program;
     programs::Tokens need = 0;
   };
 
-  // Answers whom it can, then balances the account.
-  void                          Serve(const std::string& program);
-  // Asks for room, once for each request and when the claims tell whether its
-  // program is new; false: it is refused.
-  bool                          LetIn(Account* account, Waiting* request);
-  void                          Withdraw(const Waiting& request);
-  std::optional<ReserveOutcome> Decide(Account*       account,
-                                       const Waiting& request) const;
-  void             GiveUp(const std::string& program, std::uint64_t number);
-  // Claims what waiting turns lack or what is kept ahead, or sees to it that
-  // what no turn needs is given back.
-  void             Balance(const std::string& program, Account* account);
-  void             SendClaim(const std::string& program, Account* account,
-                             programs::Tokens most, programs::Tokens wish);
-  // What the account keeps for its next turns; 0: nothing.
-  programs::Tokens Ahead(const Account& account) const;
+  // Completes the requests that can be decided, then balances the account.
+  void Serve(const std::string& program);
+  // Admits the request, once and only when the claims are known, which tell
+  // whether its program is new; returns false if it is refused.
+  bool Admit(Account* account, PendingRequest* request);
+  void CancelAdmission(const PendingRequest& request);
+  std::optional<ReserveOutcome> Decide(Account*              account,
+                                       const PendingRequest& request) const;
+  void AbandonRequest(const std::string& program, std::uint64_t number);
+  // Claims the tokens that waiting turns lack and the tokens reserved ahead, or
+  // schedules the release of tokens that no turn needs.
+  void Balance(const std::string& program, Account* account);
+  void SendClaim(const std::string& program, Account* account,
+                 programs::Tokens max_tokens, programs::Tokens wish);
+  // Tokens that the account claims in advance for its next turns.
+  programs::Tokens TokensAhead(const Account& account) const;
   void             SendRecord(programs::TokenClaim record);
-  void RecordAppended(const std::string& record, std::int64_t offset);
-  void ClaimDecided(std::uint64_t number, programs::Tokens granted);
-  void ClaimRefused(std::uint64_t number);
+  void OnRecordAppended(const std::string& record, std::int64_t offset);
+  void OnClaimDecided(std::uint64_t number, programs::Tokens granted);
+  void OnClaimRefused(std::uint64_t number);
   void CatchUp();
-  void EndCatchUp();
+  void FinishCatchUp();
   void SkipTo(std::int64_t first);
   void ReadClaims();
   void ReadPage();
-  void ReadAgain();  // after a pause
-  void TakePage(const platform::ReadPage& page);
-  void TakeRecord(const std::string& record);
-  // Takes own records that come next, without reading them back.
-  void TakeAppended();
-  void GiveBackSpare();
-  void GiveBack(const std::string& program, Account* account);
+  void ScheduleRead();  // after `log_away_pause`
+  void ApplyPage(const platform::ReadPage& page);
+  void ApplyRecord(const std::string& record);
+  // Applies own appended records that are next in order without reading them
+  // back.
+  void ApplyAppended();
+  void ScheduleReleases();
+  void Release(const std::string& program, Account* account);
 
-  net::EventLoop*                              m_loop;
-  const Thresholds*                            m_thresholds;
-  platform::RecordLog*                         m_store;
-  LogHealth                                    m_health;
-  Log*                                         m_log;
-  std::string                                  m_incarnation;
-  int                                          m_partition;
-  programs::TokenLedger                        m_ledger;
-  Appender                                     m_appender;
-  AdmissionService*                            m_room;
-  programs::AdaptiveReadSize                   m_pace{platform::kPageBytes};
-  std::unordered_map<std::string, Account>     m_accounts;  // by program
-  std::unordered_map<std::uint64_t, OpenClaim> m_claims;    // by number
-  std::unordered_map<std::string, Time> m_spare;  // programs that may have some
-  bool                                m_give_back_due = false;  // a timer runs
-  std::uint64_t                       m_last_number = 0;        // of records
-  std::uint64_t                       m_last_request = 0;
-  std::int64_t                        m_next = 0;  // offset to read on from
-  std::int64_t                        m_goal = 0;  // offset to read up to
-  // Own records that the log has acknowledged and that come after some that are
-  // still to be read, by offset.
+  net::EventLoop*                          m_loop;
+  const Thresholds*                        m_thresholds;
+  platform::RecordLog*                     m_store;
+  LogHealth                                m_health;
+  Log*                                     m_log;
+  std::string                              m_incarnation;
+  int                                      m_partition;
+  programs::TokenLedger                    m_ledger;
+  Appender                                 m_appender;
+  AdmissionService*                        m_admission;
+  programs::AdaptiveReadSize               m_read_size{platform::kPageBytes};
+  std::unordered_map<std::string, Account> m_accounts;    // by program
+  std::unordered_map<std::uint64_t, OpenClaim> m_claims;  // by number
+  std::unordered_map<std::string, Time>
+                m_release_at;                 // time of release, by program
+  bool          m_release_scheduled = false;  // a timer runs
+  std::uint64_t m_last_record = 0;            // number of the last record
+  std::uint64_t m_last_request = 0;
+  std::int64_t  m_next_offset = 0;  // offset to read on from
+  std::int64_t  m_read_until = 0;   // offset to read up to
+  // Own acknowledged records that follow records not read yet, by offset.
   std::map<std::int64_t, std::string> m_appended;
   bool                                m_reading = false;
-  bool                                m_read_due = false;  // a timer runs
-  bool m_caught_up = false;  // read to the end since the start
+  bool                                m_read_scheduled = false;  // a timer runs
+  bool m_caught_up = false;  // has read to the end once
 };
 
 }  // namespace yuccawick::gateway
--- a/src/yuccawick/gateway/turn_reader.cc
+++ b/src/yuccawick/gateway/turn_reader.cc
@@ -4,8 +4,6 @@
 #include <iterator>
 #include <utility>
 
-// Index: Scanning, Fetching, Health.
-
 namespace yuccawick::gateway {
 namespace {
 
@@ -15,14 +13,14 @@
 using platform::StoreResult;
 using platform::Topic;
 
-// The platform keeps records for 300 s.
-constexpr Duration    kPlaceMemory = 300'000;  // ms
-// The length that the log keeps before each record, in bytes.
+// How long positions are remembered; the log stores records as long.
+constexpr Duration    kPositionRetention = 300'000;  // ms
+// Bytes that the log stores before each record.
 constexpr std::size_t kRecordOverhead = 4;
-// The least that the log gives.
+// The smallest read that the log allows, in bytes.
 constexpr std::size_t kProbeBytes = 1024;
-// A partition that was asked within this time, in ms, needs no probe.
-constexpr Duration    kProbeAfter = 500;
+// A partition that was called within this time, in ms, needs no probe.
+constexpr Duration    kProbeIdleTime = 500;
 
 }  // namespace
 
@@ -41,57 +39,58 @@
   }
 }
 
-// Scanning -------------------------------------------------------------------
+// Scan -----------------------------------------------------------------------
 
 void TurnReader::Scan(int partition, ScanDone done, std::string wanted) {
   ScanState& scan = ScanOf(partition);
-  // Probes look for the return of a partition; a question would only wait for a
-  // timeout before the peers are asked.
+  // Probes detect when the partition is back; a scan would only delay the
+  // search of the peers' memory by a timeout.
   if (scan.health->unavailable()) {
     done(false);
     return;
   }
   scan.waiting.push_back({std::move(done), std::move(wanted)});
-  if (!scan.busy) Begin(partition);
+  if (!scan.busy) BeginScan(partition);
 }
 
-void TurnReader::Begin(int partition) {
+void TurnReader::BeginScan(int partition) {
   ScanState& scan = ScanOf(partition);
   scan.busy = true;
-  scan.taken = 0;
+  scan.records_read = 0;
   scan.plan.Begin();
-  ReadPart(partition);
+  ReadNextPage(partition);
 }
 
-// Whoever asks before a look at the end of the partition is served by it.
-void TurnReader::TakeWaiting(ScanState* scan) {
-  for (Question& question : scan->waiting) {
-    scan->served.push_back(std::move(question));
+// Requests made before a read at the end of the partition are completed by it.
+void TurnReader::ServeWaiting(ScanState* scan) {
+  for (ScanRequest& request : scan->waiting) {
+    scan->served.push_back(std::move(request));
   }
   scan->waiting.clear();
 }
 
-void TurnReader::AnswerFound(ScanState* scan) {
+void TurnReader::CompleteFound(ScanState* scan) {
   const auto found = std::stable_partition(
-      scan->served.begin(), scan->served.end(), [this](const Question& each) {
+      scan->served.begin(), scan->served.end(),
+      [this](const ScanRequest& each) {
         return each.wanted.empty() || !m_history->Holds(each.wanted);
       });
-  const std::vector<Question> answered(
+  const std::vector<ScanRequest> completed(
       std::make_move_iterator(found),
       std::make_move_iterator(scan->served.end()));
   scan->served.erase(found, scan->served.end());
-  for (const Question& question : answered) question.done(false);
+  for (const ScanRequest& request : completed) request.done(false);
 }
 
-void TurnReader::ReadPart(int partition, bool again) {
+void TurnReader::ReadNextPage(int partition, bool is_retry) {
   ScanState& scan = ScanOf(partition);
-  if (scan.plan.at_end()) TakeWaiting(&scan);
+  if (scan.plan.at_end()) ServeWaiting(&scan);
   const Time         began = m_loop->now();
   const std::int64_t from = scan.plan.from();
   m_store->Read(
-      Topic::kTurns, partition, {from, m_pace.bytes()},
+      Topic::kTurns, partition, {from, m_read_size.bytes()},
       m_thresholds->log_timeout,
-      [this, partition, again, began, from,
+      [this, partition, is_retry, began, from,
        &scan](const StoreResult<ReadPage>& result) {
         if (!result && result.error().failure == StoreFailure::kExpired) {
           SkipTo(partition, from, result.error().first);
@@ -100,167 +99,168 @@
         const Duration took = m_loop->now() - began;
         const bool     in_time = took < m_thresholds->log_timeout;
         if (result) {
-          m_pace.Answered(took);
+          m_read_size.Answered(took);
         } else if (!in_time) {
-          m_pace.Late();
+          m_read_size.Late();
         }
-        // A kept connection that was dropped ends a read at once, and says
-        // nothing of the log. One that timed out is not repeated: after a
-        // restart of all nodes the log is busy, and a page read twice keeps it
-        // so.
-        const bool at_once = took < m_thresholds->log_timeout / 2;
-        if (!result && at_once && !again &&
+        // A read on a dropped keep-alive connection fails at once and is
+        // repeated. A read that timed out is not: the log is probably
+        // overloaded, and repeated reads would keep it so.
+        const bool failed_fast = took < m_thresholds->log_timeout / 2;
+        if (!result && failed_fast && !is_retry &&
             result.error().failure == StoreFailure::kUnknown) {
-          ReadPart(partition, true);
+          ReadNextPage(partition, true);
           return;
         }
         scan.health->Observe(result.has_value(), "read");
         if (result) {
-          TakePage(partition, *result);
+          ApplyPage(partition, *result);
         } else {
-          End(partition, false);
+          EndScan(partition, false);
         }
       });
 }
 
-// The log deletes records that are old, or too many. If they were too many, a
-// turn among them may still be owed; after a turn's retention none is.
+// The log deletes records that are old, or when there are too many. In the
+// latter case a deleted turn may still be named by a client until its retention
+// has passed.
 void TurnReader::SkipTo(int partition, std::int64_t from, std::int64_t first) {
   ScanState& scan = ScanOf(partition);
   scan.health->Observe(true, "read");
   if (first <= from) {
-    End(partition, false);
+    EndScan(partition, false);
     return;
   }
   if (scan.plan.Deleted(first)) {
-    scan.sure_from = m_loop->now() + m_retention + kRetentionSlack;
+    scan.complete_after = m_loop->now() + m_retention + kRetentionSlack;
   }
-  ReadPart(partition);
+  ReadNextPage(partition);
 }
 
-void TurnReader::TakePage(int partition, const ReadPage& page) {
+void TurnReader::ApplyPage(int partition, const ReadPage& page) {
   ScanState& scan = ScanOf(partition);
   const bool at_end = scan.plan.at_end();
   const auto from = scan.plan.from();
-  for (const LogRecord& record : page.records) Take(partition, record);
-  scan.taken += page.records.size();
-  // An answer from before what was read already, or records that are there and
-  // do not come: neither rules a turn out.
+  for (const LogRecord& record : page.records) ApplyRecord(partition, record);
+  scan.records_read += page.records.size();
+  // A stale response, or a page without the records that exist: neither proves
+  // that a turn does not exist.
   const bool stale = page.end < from;
   const bool withheld = page.records.empty() && (!at_end || from < page.end);
   if (stale || withheld) {
-    End(partition, false);
+    EndScan(partition, false);
     return;
   }
   scan.plan.Took(page.next, page.end,
                  static_cast<std::int64_t>(page.records.size()));
   if (scan.plan.complete()) {
-    End(partition, true);
+    EndScan(partition, true);
   } else {
-    AnswerFound(&scan);
-    ReadPart(partition);
+    CompleteFound(&scan);
+    ReadNextPage(partition);
   }
 }
 
-void TurnReader::End(int partition, bool complete) {
+void TurnReader::EndScan(int partition, bool complete) {
   ScanState& scan = ScanOf(partition);
-  const bool sure = complete && m_loop->now() >= scan.sure_from;
+  const bool sure = complete && m_loop->now() >= scan.complete_after;
   const auto served = std::exchange(scan.served, {});
   scan.busy = false;
   m_log->Write(LogEvent::kScan, {{"partition", partition},
                                  {"complete", sure ? "yes" : "no"},
                                  {"offset", scan.plan.from()},
                                  {"end", scan.plan.end()},
-                                 {"records", scan.taken},
+                                 {"records", scan.records_read},
                                  {"questions", served.size()}});
-  // Whoever asked while this scan ran needs one that starts now.
-  if (!scan.waiting.empty()) Begin(partition);
-  for (const Question& question : served) question.done(sure);
+  // Requests made during this scan need one that starts after them.
+  if (!scan.waiting.empty()) BeginScan(partition);
+  for (const ScanRequest& request : served) request.done(sure);
 }
 
-void TurnReader::Take(int partition, const LogRecord& record) {
+void TurnReader::ApplyRecord(int partition, const LogRecord& record) {
   auto read = programs::DecodeTurn(record.value);
   if (!read) {
     m_log->Write(LogEvent::kFault,
                  {{"what", "undecodable turn"}, {"offset", record.offset}});
-    // It may be the one that somebody will ask for.
-    ScanOf(partition).sure_from = m_loop->now() + m_retention + kRetentionSlack;
+    // A client may name the turn that could not be decoded.
+    ScanOf(partition).complete_after =
+        m_loop->now() + m_retention + kRetentionSlack;
     return;
   }
-  const Time  until = m_loop->now() + kPlaceMemory;
-  const Piece piece{record.offset, record.value.size() + kRecordOverhead};
+  const Time        expires_at = m_loop->now() + kPositionRetention;
+  const RecordRange range{record.offset, record.value.size() + kRecordOverhead};
   if (read->parts == 1) {
-    Keep(std::move(read->turn), {partition, {piece}, until});
+    AddTurn(std::move(read->turn), {partition, {range}, expires_at});
     return;
   }
   const std::pair key(partition, read->turn.id);
-  Pieces&         pieces = m_pieces[key];
-  pieces.place.partition = partition;
-  pieces.place.until = until;
-  if (!pieces.parts.emplace(read->part, std::move(read->turn)).second) return;
-  pieces.place.pieces.push_back(piece);
-  if (pieces.parts.size() < read->parts) return;
-  const Pieces   all = std::move(m_pieces.extract(key).mapped());
-  programs::Turn whole = all.parts.begin()->second;
+  PartialTurn&    partial = m_partial_turns[key];
+  partial.position.partition = partition;
+  partial.position.expires_at = expires_at;
+  if (!partial.parts.emplace(read->part, std::move(read->turn)).second) return;
+  partial.position.records.push_back(range);
+  if (partial.parts.size() < read->parts) return;
+  const PartialTurn all = std::move(m_partial_turns.extract(key).mapped());
+  programs::Turn    whole = all.parts.begin()->second;
   for (auto part = std::next(all.parts.begin()); part != all.parts.end();
        ++part) {
     whole.input += part->second.input;
     whole.output += part->second.output;
   }
-  Keep(std::move(whole), all.place);
+  AddTurn(std::move(whole), all.position);
 }
 
-void TurnReader::Keep(programs::Turn turn, Place place) {
-  m_places.insert_or_assign(turn.id, std::move(place));
+void TurnReader::AddTurn(programs::Turn turn, Position position) {
+  m_positions.insert_or_assign(turn.id, std::move(position));
   m_history->Add(std::move(turn), m_loop->now(), m_retention + kRetentionSlack);
 }
 
-// Fetching -------------------------------------------------------------------
+// Fetch ----------------------------------------------------------------------
 
 void TurnReader::Fetch(const std::string&           id,
                        const std::function<void()>& done) {
-  const auto found = m_places.find(id);
-  if (found == m_places.end()) {
+  const auto found = m_positions.find(id);
+  if (found == m_positions.end()) {
     done();
     return;
   }
-  FetchPart(id, found->second, 0, done);
+  FetchRecord(id, found->second, 0, done);
 }
 
-void TurnReader::FetchPart(const std::string& id, const Place& place,
-                           std::size_t                  part,
-                           const std::function<void()>& done) {
-  if (part == place.pieces.size() || m_history->Holds(id)) {
-    // Not what lay there: a scan has to find it.
-    if (!m_history->Holds(id)) m_places.erase(id);
+void TurnReader::FetchRecord(const std::string& id, const Position& position,
+                             std::size_t                  part,
+                             const std::function<void()>& done) {
+  if (part == position.records.size() || m_history->Holds(id)) {
+    // The turn is no longer at this position; a scan has to find it.
+    if (!m_history->Holds(id)) m_positions.erase(id);
     done();
     return;
   }
-  if (IsUnavailable(place.partition)) {
+  if (IsUnavailable(position.partition)) {
     done();
     return;
   }
   m_store->Read(
-      Topic::kTurns, place.partition,
-      {place.pieces[part].offset, place.pieces[part].bytes, 0,
+      Topic::kTurns, position.partition,
+      {position.records[part].offset, position.records[part].bytes, 0,
        platform::CallKind::kFetch},
       m_thresholds->log_timeout,
-      [this, id, place, part, done](const StoreResult<ReadPage>& result) {
-        const bool gone =
+      [this, id, position, part, done](const StoreResult<ReadPage>& result) {
+        const bool expired =
             !result && result.error().failure == StoreFailure::kExpired;
-        ScanOf(place.partition)
-            .health->Observe(result.has_value() || gone, "fetch");
-        if (gone) m_places.erase(id);
+        ScanOf(position.partition)
+            .health->Observe(result.has_value() || expired, "fetch");
+        if (expired) m_positions.erase(id);
         if (!result || result->records.empty()) {
           done();
           return;
         }
-        Take(place.partition, result->records.front());
-        FetchPart(id, place, part + 1, done);
+        ApplyRecord(position.partition, result->records.front());
+        FetchRecord(id, position, part + 1, done);
       });
 }
 
-// Health ---------------------------------------------------------------------
+// Availability ---------------------------------------------------------------
 
 bool TurnReader::IsUnavailable(int partition) const {
   return m_scans[static_cast<std::size_t>(partition)].health->unavailable();
@@ -276,14 +276,12 @@
 
 void TurnReader::Probe() {
   for (int i = 0; i < kTurnPartitions; ++i) {
-    if (ScanOf(i).health->IdleFor(kProbeAfter)) ProbePartition(i);
+    if (ScanOf(i).health->IdleFor(kProbeIdleTime)) ProbePartition(i);
   }
 }
 
-// Asks for next to nothing. All nodes look at the same time, when some of them
-// lose the log or all do: pages of 256 KB took 64 of the log's 80 MB/s from 88
-// nodes, until no read of any node was answered in time and each was asked
-// again.
+// Reads as little as possible: all nodes probe at the same time in an outage,
+// and larger reads would overload the log, so that no read is answered in time.
 void TurnReader::ProbePartition(int partition) {
   ScanState& scan = ScanOf(partition);
   if (scan.busy || scan.probing) return;
@@ -294,21 +292,21 @@
                 m_thresholds->log_timeout,
                 [&scan](const StoreResult<ReadPage>& result) {
                   scan.probing = false;
-                  const bool gone = !result && result.error().failure ==
-                                                   StoreFailure::kExpired;
+                  const bool expired = !result && result.error().failure ==
+                                                      StoreFailure::kExpired;
                   if (result) scan.probed_end = result->end;
-                  scan.health->Observe(result.has_value() || gone, "probe");
+                  scan.health->Observe(result.has_value() || expired, "probe");
                 });
 }
 
 void TurnReader::Sweep() {
   const Time now = m_loop->now();
-  const auto old = [now](const auto& entry) {
-    return entry.second.until < now;
+  const auto is_expired = [now](const auto& entry) {
+    return entry.second.expires_at < now;
   };
-  std::erase_if(m_places, old);
-  std::erase_if(m_pieces, [now](const auto& entry) {
-    return entry.second.place.until < now;
+  std::erase_if(m_positions, is_expired);
+  std::erase_if(m_partial_turns, [now](const auto& entry) {
+    return entry.second.position.expires_at < now;
   });
   for (int i = 0; i < kTurnPartitions; ++i) {
     if (IsUnavailable(i)) ProbePartition(i);
--- a/src/yuccawick/gateway/turn_reader.h
+++ b/src/yuccawick/gateway/turn_reader.h
@@ -1,17 +1,17 @@
-// Reads turns from the platform's log.
+// Reads turns from the platform log into a TurnHistory.
 //
-//   Scan   reads what lies between the last scan and the end of a partition,
-//          newest records first if it is much (programs/scan_plan.h), and puts
-//          the turns into memory. Whoever asks while a scan runs is served by
-//          its next look at the end.
-//   Fetch  reads one turn again that was read before and has left memory since.
+//   Scan()   reads the records between the last scan and the end of a
+//            partition, the newest first if there are many, see
+//            programs/scan_plan.h. Requests that arrive during a scan are
+//            completed by its next read at the end of the partition.
+//   Fetch()  reads again a turn that was read before and has been evicted.
 //
-// A scan is complete if nothing that the partition ever held can have been
-// missed: it came to the end, and it passed over no deleted records that may
-// still be owed. Only complete scans may rule a turn out. That memory does not
-// hold a turn says nothing: it forgets turns after their routes' retention, and
-// that may have changed, or a later turn may continue from them. So the place
-// of each turn is remembered for as long as the log keeps it.
+// A scan is complete if it reached the end of the partition and skipped no
+// deleted record that clients may still name. Only a complete scan proves that
+// a turn does not exist. Absence from memory does not: turns are evicted after
+// the retention of their routes, which may change, and later turns may continue
+// from them. The positions of turns are remembered for as long as the log
+// stores them.
 #pragma once
 
 #include <cstdint>
@@ -35,12 +35,11 @@
 using net::Duration;
 using net::Time;
 
-// Partitions of the log that hold turns, by program. Each takes an append every
-// two milliseconds with any number of records.
+// Partitions of the turns topic; a turn's partition is chosen by its program.
 inline constexpr int kTurnPartitions = 4;
 
-// Turns are kept longer than a client may name them, so that answers on the way
-// and the time of a search do not matter.
+// Time that turns are stored beyond their retention, to allow for responses in
+// transit and the duration of a search.
 inline constexpr Duration kRetentionSlack = 15'000;  // ms
 
 class TurnReader {
@@ -49,89 +48,91 @@
              platform::RecordLog* store, Log* log,
              programs::TurnHistory* history);
 
-  // `done` with whether the scan was complete; sooner, with false, once the
-  // turn `wanted` is in memory.
+  // Calls `done` with whether the scan was complete; earlier, with false, once
+  // the turn `wanted` is in memory.
   using ScanDone = std::function<void(bool)>;
   void Scan(int partition, ScanDone done, std::string wanted = {});
-  // Whether it was read before, so that Fetch() may find it.
+  // Whether the turn was read before, so that Fetch() can find it.
   bool KnowsPositionOf(const std::string& id) const {
-    return m_places.contains(id);
+    return m_positions.contains(id);
   }
-  // `done` once the turn is in memory, or could not be read.
+  // Calls `done` once the turn is in memory or the read has failed.
   void Fetch(const std::string& id, const std::function<void()>& done);
 
   LogHealth* health(int partition) { return ScanOf(partition).health.get(); }
   bool       IsUnavailable(int partition) const;
-  // How long no partition has answered this node, in ms; 0: one does.
+  // Time for which all partitions have been unavailable, in ms; 0: some
+  // partition is available.
   Duration   UnavailableFor() const;
-  // How long turns read are kept, in ms: the longest of the routes.
+  // How long turns are stored in memory, in ms: the maximum of all routes.
   void       SetRetention(Duration retention) { m_retention = retention; }
   Duration   retention() const { return m_retention; }
-  // Finds out whether partitions answer that nobody asked lately.
+  // Probes the partitions that were not called lately.
   void       Probe();
-  // Forgets old places and looks for partitions that were away. Call often.
+  // Removes expired positions and probes unavailable partitions. Call often.
   void       Sweep();
 
  private:
-  struct Question {
+  struct ScanRequest {
     ScanDone    done;
     std::string wanted;
   };
   struct ScanState {
     std::unique_ptr<LogHealth> health;
     programs::ScanPlan         plan;
-    std::int64_t               probed_end = 0;  // of the partition
-    std::size_t                taken = 0;       // records, in this scan
-    Time                       sure_from = 0;   // complete scans from then on
-    bool                       busy = false;
-    bool                       probing = false;
-    std::vector<Question>      served;
-    std::vector<Question>      waiting;
+    std::int64_t               probed_end = 0;    // end offset seen by probes
+    std::size_t                records_read = 0;  // records read by this scan
+    Time complete_after = 0;  // scans are incomplete before this
+    bool busy = false;
+    bool probing = false;
+    std::vector<ScanRequest> served;
+    std::vector<ScanRequest> waiting;
   };
-  // A record of the log. Fetching one must not read a whole page for it: a
-  // turn is a few KB of the 256.
-  struct Piece {
+  // A record of the log; its size limits a fetch to this record.
+  struct RecordRange {
     std::int64_t offset = 0;
     std::size_t  bytes = 0;
   };
-  struct Place {
-    int                partition = 0;
-    std::vector<Piece> pieces;  // the turn, or its parts
-    Time               until = 0;
+  struct Position {
+    int                      partition = 0;
+    std::vector<RecordRange> records;  // one record, or one per part
+    Time                     expires_at = 0;
   };
-  // A turn of several records of which not all have been read in a partition.
-  struct Pieces {
+  // A turn of several records of one partition, not all of them read yet.
+  struct PartialTurn {
     std::map<std::uint32_t, programs::Turn> parts;
-    Place                                   place;
+    Position                                position;
   };
 
   ScanState& ScanOf(int partition) {
     return m_scans[static_cast<std::size_t>(partition)];
   }
-  void Begin(int partition);
-  void TakeWaiting(ScanState* scan);
-  void AnswerFound(ScanState* scan);
+  void BeginScan(int partition);
+  void ServeWaiting(ScanState* scan);
+  void CompleteFound(ScanState* scan);
   void ProbePartition(int partition);
-  // `again`: the last read failed at once.
-  void ReadPart(int partition, bool again = false);
-  void TakePage(int partition, const platform::ReadPage& page);
+  // `is_retry`: this read repeats one that failed at once.
+  void ReadNextPage(int partition, bool is_retry = false);
+  void ApplyPage(int partition, const platform::ReadPage& page);
   void SkipTo(int partition, std::int64_t from, std::int64_t first);
-  void End(int partition, bool complete);
-  void Take(int partition, const platform::LogRecord& record);
-  void Keep(programs::Turn turn, Place place);
-  void FetchPart(const std::string& id, const Place& place, std::size_t part,
-                 const std::function<void()>& done);
+  void EndScan(int partition, bool complete);
+  void ApplyRecord(int partition, const platform::LogRecord& record);
+  void AddTurn(programs::Turn turn, Position position);
+  void FetchRecord(const std::string& id, const Position& position,
+                   std::size_t part, const std::function<void()>& done);
 
   net::EventLoop*            m_loop;
   const Thresholds*          m_thresholds;
   platform::RecordLog*       m_store;
   Log*                       m_log;
   programs::TurnHistory*     m_history;
-  programs::AdaptiveReadSize m_pace{platform::kPageBytes};  // of all scans
-  std::vector<ScanState>     m_scans;                       // by partition
-  std::unordered_map<std::string, Place>        m_places;   // by turn
-  std::map<std::pair<int, std::string>, Pieces> m_pieces;   // partition, turn
-  Duration m_retention = 60'000;  // until a manifest says
+  programs::AdaptiveReadSize m_read_size{
+      platform::kPageBytes};                              // shared by all scans
+  std::vector<ScanState>                    m_scans;      // by partition
+  std::unordered_map<std::string, Position> m_positions;  // by turn id
+  std::map<std::pair<int, std::string>, PartialTurn>
+           m_partial_turns;       // by partition and turn id
+  Duration m_retention = 60'000;  // ms; until a manifest sets it
 };
 
 }  // namespace yuccawick::gateway
--- a/src/yuccawick/gateway/turn_store.cc
+++ b/src/yuccawick/gateway/turn_store.cc
@@ -5,8 +5,6 @@
 #include <algorithm>
 #include <utility>
 
-// Index: Finding, Keeping.
-
 namespace yuccawick::gateway {
 namespace {
 
@@ -40,155 +38,159 @@
   m_reader.Sweep();
 }
 
-// Finding --------------------------------------------------------------------
+// Find -----------------------------------------------------------------------
 
 void TurnStore::Find(const std::string& id, const std::string& program,
                      FindDone done) {
-  // A turn usually continues one of its own program, whose partition is known.
+  // The previous turn usually belongs to the same program.
   Search({id, PartitionOf(program), std::move(done)});
 }
 
-void TurnStore::Search(const Question& question) {
-  const std::string missing = m_history.Missing(question.id);
+void TurnStore::Search(const FindRequest& request) {
+  const std::string missing = m_history.Missing(request.id);
   if (missing.empty()) {
-    question.done(FindOutcome::kFound);
+    request.done(FindOutcome::kFound);
   } else if (m_history.Holds(missing)) {
-    // Turns that name each other, because a client used an id twice.
-    question.done(FindOutcome::kUnsure);
+    // A cycle: a client reused an id, so that turns name each other as
+    // previous.
+    request.done(FindOutcome::kUnsure);
   } else if (m_reader.KnowsPositionOf(missing)) {
-    m_reader.Fetch(missing, [this, question, missing] {
+    m_reader.Fetch(missing, [this, request, missing] {
       if (m_history.Holds(missing)) {
-        Search(question);
+        Search(request);
       } else {
-        AskPeers(question, missing);
+        RequestFromPeers(request, missing);
       }
     });
   } else {
-    SearchOwnPartition(question, missing);
+    SearchOwnPartition(request, missing);
   }
 }
 
-void TurnStore::SearchOwnPartition(const Question&    question,
+void TurnStore::SearchOwnPartition(const FindRequest& request,
                                    const std::string& missing) {
-  const auto looked = [this, question, missing](bool complete) {
-    if (m_history.Missing(question.id) == missing) {
-      SearchOthers(question, missing, complete);
+  const auto on_searched = [this, request, missing](bool complete) {
+    if (m_history.Missing(request.id) == missing) {
+      SearchOthers(request, missing, complete);
     } else {
-      Search(question);
+      Search(request);
     }
   };
-  LookIn({question.partition, missing, looked});
+  SearchPartition({request.partition, missing, on_searched});
 }
 
-void TurnStore::SearchOthers(const Question&    question,
+void TurnStore::SearchOthers(const FindRequest& request,
                              const std::string& missing, bool first_complete) {
   auto       open = std::make_shared<int>(kTurnPartitions - 1);
   auto       complete = std::make_shared<bool>(first_complete);
-  const auto end = [this, question, missing, complete] {
-    if (m_history.Missing(question.id) == missing) {
-      EndSearch(question, missing, *complete);
+  const auto end = [this, request, missing, complete] {
+    if (m_history.Missing(request.id) == missing) {
+      EndSearch(request, missing, *complete);
     } else {
-      // An ancestor may lie in yet another partition.
-      Search(question);
+      // The next ancestor may lie in yet another partition.
+      Search(request);
     }
   };
   for (int i = 0; i < kTurnPartitions; ++i) {
-    if (i == question.partition) continue;
-    const auto looked = [open, complete, end](bool whole) {
-      *complete = *complete && whole;
+    if (i == request.partition) continue;
+    const auto on_searched = [open, complete, end](bool scan_complete) {
+      *complete = *complete && scan_complete;
       if (--*open == 0) end();
     };
-    LookIn({i, missing, looked});
+    SearchPartition({i, missing, on_searched});
   }
 }
 
-// Only the log can rule a turn out, and only the one that was asked for: an
-// ancestor that the log does not have any more says nothing about it.
-void TurnStore::EndSearch(const Question& question, const std::string& missing,
-                          bool complete) {
-  m_log->Write(LogEvent::kScan, {{"asked_for", question.id},
+// A complete scan proves only that the requested turn does not exist. A missing
+// ancestor proves nothing about it: the log may have deleted the ancestor.
+void TurnStore::EndSearch(const FindRequest& request,
+                          const std::string& missing, bool complete) {
+  m_log->Write(LogEvent::kScan, {{"asked_for", request.id},
                                  {"missing", missing},
                                  {"complete", complete ? "yes" : "no"}});
-  if (complete && missing == question.id) {
-    question.done(FindOutcome::kUnknown);
+  if (complete && missing == request.id) {
+    request.done(FindOutcome::kUnknown);
   } else {
-    AskPeers(question, missing);
+    RequestFromPeers(request, missing);
   }
 }
 
-void TurnStore::AskPeers(const Question& question, const std::string& missing) {
-  m_peers->AskForTurn(missing,
-                      [this, question, missing](const TurnPeers::Turns& turns) {
-                        TakeTurns(turns);
-                        if (m_history.Missing(question.id) != missing) {
-                          Search(question);
-                        } else {
-                          question.done(FindOutcome::kUnsure);
-                        }
-                      });
+void TurnStore::RequestFromPeers(const FindRequest& request,
+                                 const std::string& missing) {
+  m_peers->RequestTurn(missing,
+                       [this, request, missing](const TurnPeers::Turns& turns) {
+                         AddTurns(turns);
+                         if (m_history.Missing(request.id) != missing) {
+                           Search(request);
+                         } else {
+                           request.done(FindOutcome::kUnsure);
+                         }
+                       });
 }
 
-void TurnStore::TakeTurns(const std::vector<programs::Turn>& turns) {
+void TurnStore::AddTurns(const std::vector<programs::Turn>& turns) {
   for (const programs::Turn& turn : turns) {
     m_history.Add(turn, m_loop->now(), m_reader.retention() + kRetentionSlack);
   }
 }
 
-void TurnStore::LookIn(const Look& look) {
-  const auto answered = [this, look](const TurnPeers::Lookup& lookup) {
-    TakeLookup(look, lookup);
+void TurnStore::SearchPartition(const PartitionSearch& search) {
+  const auto on_lookup = [this, search](const TurnPeers::Lookup& lookup) {
+    OnLookup(search, lookup);
   };
-  switch (m_peers->AskReader(look.partition, look.id, look.rank, answered)) {
-    case ReaderLocation::kAnother:
+  switch (m_peers->RequestLookup(search.partition, search.id, search.rank,
+                                 on_lookup)) {
+    case ReaderLocation::kOtherNode:
       break;
-    case ReaderLocation::kSelf:
-      ScanHere(look);
+    case ReaderLocation::kThisNode:
+      ScanHere(search);
       break;
-    case ReaderLocation::kNobody:
-      look.done(false);
+    case ReaderLocation::kNone:
+      search.done(false);
       break;
   }
 }
 
-void TurnStore::LookAtNext(Look look) {
-  ++look.rank;
-  look.tries = kReaderTries;
-  LookIn(look);
+void TurnStore::SearchNextReader(PartitionSearch search) {
+  ++search.rank;
+  search.tries = kReaderRetries;
+  SearchPartition(search);
 }
 
-void TurnStore::TakeLookup(const Look& look, const TurnPeers::Lookup& lookup) {
-  TakeTurns(lookup.turns);
-  if (lookup.answered && (lookup.complete || m_history.Holds(look.id))) {
-    look.done(lookup.complete);
-  } else if (lookup.reading && look.tries > 0) {
-    Look again = look;
-    --again.tries;
-    LookIn(again);
+void TurnStore::OnLookup(const PartitionSearch&   search,
+                         const TurnPeers::Lookup& lookup) {
+  AddTurns(lookup.turns);
+  if (lookup.answered && (lookup.complete || m_history.Holds(search.id))) {
+    search.done(lookup.complete);
+  } else if (lookup.reading && search.tries > 0) {
+    PartitionSearch retry = search;
+    --retry.tries;
+    SearchPartition(retry);
   } else {
-    LookAtNext(look);
+    SearchNextReader(search);
   }
 }
 
-void TurnStore::ScanHere(const Look& look) {
+void TurnStore::ScanHere(const PartitionSearch& search) {
   m_reader.Scan(
-      look.partition,
-      [this, look](bool complete) {
-        if (complete || m_history.Holds(look.id)) {
-          look.done(complete);
+      search.partition,
+      [this, search](bool complete) {
+        if (complete || m_history.Holds(search.id)) {
+          search.done(complete);
         } else {
-          LookAtNext(look);
+          SearchNextReader(search);
         }
       },
-      look.id);
+      search.id);
 }
 
-// Keeping --------------------------------------------------------------------
+// Persist --------------------------------------------------------------------
 
 bool TurnStore::CanPersist() const {
   return m_reader.UnavailableFor() == 0 || m_peers->AnyReachesLog();
 }
 
-int TurnStore::PlaceFrom(int first) const {
+int TurnStore::ChoosePartition(int first) const {
   for (int i = 0; i < kTurnPartitions; ++i) {
     const int partition = (first + i) % kTurnPartitions;
     if (!m_reader.IsUnavailable(partition)) return partition;
@@ -197,113 +199,118 @@
 }
 
 void TurnStore::Append(const programs::Turn& turn, int partition,
-                       const Appender::Wanted& wanted, PlacedDone done) {
+                       const Appender::Wanted& wanted, AppendedCallback done) {
   const auto records = programs::EncodeTurn(turn);
-  auto       left = std::make_shared<std::size_t>(records.size());
-  auto       kept =
+  auto       remaining = std::make_shared<std::size_t>(records.size());
+  auto       position =
       std::make_shared<std::optional<LogPosition>>(LogPosition{partition});
-  const auto appended =
-      [left, kept, done = std::move(done)](const Appender::Result& result) {
-        if (!result) {
-          kept->reset();
-        } else if (*kept && (*kept)->offset < 0) {
-          (*kept)->offset = result->offset;
-        }
-        if (--*left == 0) done(*kept);
-      };
+  const auto appended = [remaining, position, done = std::move(done)](
+                            const Appender::Result& result) {
+    if (!result) {
+      position->reset();
+    } else if (*position && (*position)->offset < 0) {
+      (*position)->offset = result->offset;
+    }
+    if (--*remaining == 0) done(*position);
+  };
   Appender& appender = m_appenders[static_cast<std::size_t>(partition)];
   for (const std::string& record : records) {
     appender.Add(record, appended, wanted);
   }
 }
 
-void TurnStore::Close(const KeepingPtr& keeping) {
-  if (!std::exchange(keeping->open, false)) return;
-  --m_unkept;
-  keeping->done = nullptr;
+void TurnStore::EndAttempts(const PendingPersistPtr& pending) {
+  if (!std::exchange(pending->open, false)) return;
+  --m_pending_persists;
+  pending->done = nullptr;
 }
 
-void TurnStore::Settle(const KeepingPtr& keeping, const LogPosition& kept) {
-  if (!keeping->open) return;
-  const PersistDone done = std::move(keeping->done);
-  Close(keeping);
-  m_history.Add(keeping->turn, m_loop->now(),
-                keeping->retention + kRetentionSlack);
-  m_metrics->CountTurnPersisted(kept.by_peer);
+void TurnStore::FinishPersist(const PendingPersistPtr& pending,
+                              const LogPosition&       position) {
+  if (!pending->open) return;
+  const PersistDone done = std::move(pending->done);
+  EndAttempts(pending);
+  m_history.Add(pending->turn, m_loop->now(),
+                pending->retention + kRetentionSlack);
+  m_metrics->CountTurnPersisted(position.by_peer);
   m_metrics->ObserveTurnPersisted(
-      static_cast<double>(m_loop->now() - keeping->began) / kMillisPerSecond);
-  done(kept);
+      static_cast<double>(m_loop->now() - pending->started) / kMillisPerSecond);
+  done(position);
 }
 
-void TurnStore::Send(const KeepingPtr& keeping) {
-  keeping->tried.insert(keeping->partition);
+void TurnStore::SendAppend(const PendingPersistPtr& pending) {
+  pending->tried.insert(pending->partition);
   Append(
-      keeping->turn, keeping->partition, [keeping] { return keeping->open; },
-      [this, keeping](std::optional<LogPosition> kept) {
-        if (kept) Settle(keeping, *kept);
+      pending->turn, pending->partition, [pending] { return pending->open; },
+      [this, pending](std::optional<LogPosition> position) {
+        if (position) FinishPersist(pending, *position);
       });
 }
 
 void TurnStore::Persist(const programs::Turn& turn, Duration retention,
                         Time until, PersistDone done) {
-  const int  place = PlaceFrom(PartitionOf(turn.program));
+  const int  partition = ChoosePartition(PartitionOf(turn.program));
   const Time now = m_loop->now();
-  const auto keeping = std::make_shared<Keeping>(
-      Keeping{turn, retention, now, place, {}, 0, true, std::move(done)});
-  ++m_unkept;
-  Send(keeping);
-  m_loop->After(m_reader.IsUnavailable(place) ? 0 : m_thresholds->log_patience,
-                [this, keeping] { TryElsewhere(keeping); });
+  const auto pending = std::make_shared<PendingPersist>(PendingPersist{
+      turn, retention, now, partition, {}, 0, true, std::move(done)});
+  ++m_pending_persists;
+  SendAppend(pending);
+  m_loop->After(
+      m_reader.IsUnavailable(partition) ? 0 : m_thresholds->log_patience,
+      [this, pending] { RetryElsewhere(pending); });
   m_loop->After(std::max<Duration>(0, until - now),
-                [this, keeping] { Close(keeping); });
+                [this, pending] { EndAttempts(pending); });
 }
 
-// Another partition, and from the second time on other nodes. Partitions fail
-// one by one, and that this one does is known only after a timeout: so the next
-// one is taken whatever is known of this one. A turn that lies in the log twice
-// is the same turn.
-void TurnStore::TryElsewhere(const KeepingPtr& keeping) {
-  if (!keeping->open) return;
-  const auto again = [this, keeping](Duration pause) {
-    m_loop->After(pause, [this, keeping] { TryElsewhere(keeping); });
+// Tries another partition, from the second time on also other nodes. Partitions
+// fail independently, and a failure is known only after a timeout, so the next
+// partition is tried whatever the state of the current one. Duplicate copies of
+// a turn in the log are harmless.
+void TurnStore::RetryElsewhere(const PendingPersistPtr& pending) {
+  if (!pending->open) return;
+  const auto retry = [this, pending](Duration pause) {
+    m_loop->After(pause, [this, pending] { RetryElsewhere(pending); });
   };
-  const int  next = PlaceFrom((keeping->partition + 1) % kTurnPartitions);
+  const int  next = ChoosePartition((pending->partition + 1) % kTurnPartitions);
   const bool another =
-      !m_reader.IsUnavailable(next) && !keeping->tried.contains(next);
+      !m_reader.IsUnavailable(next) && !pending->tried.contains(next);
   if (another) {
-    keeping->partition = next;
-    Send(keeping);
+    pending->partition = next;
+    SendAppend(pending);
   }
-  if (another && keeping->tried.size() == 2) {
-    again(m_thresholds->log_patience);
+  if (another && pending->tried.size() == 2) {
+    retry(m_thresholds->log_patience);
     return;
   }
-  m_peers->AppendFor(keeping->turn, keeping->retention, keeping->relays++,
-                     [this, keeping, again](std::optional<LogPosition> place) {
-                       if (place) {
-                         Settle(keeping, *place);
-                       } else {
-                         again(m_thresholds->relay_pause);
-                       }
-                     });
+  m_peers->AppendFor(
+      pending->turn, pending->retention, pending->relay_attempts++,
+      [this, pending, retry](std::optional<LogPosition> position) {
+        if (position) {
+          FinishPersist(pending, *position);
+        } else {
+          retry(m_thresholds->relay_pause);
+        }
+      });
 }
 
 void TurnStore::PersistForPeer(const programs::Turn& turn, Duration retention,
                                TurnPeers::AppendDone done) {
   auto       waiting = std::make_shared<TurnPeers::AppendDone>(std::move(done));
-  const auto answer = [waiting](std::optional<LogPosition> kept) {
-    if (const auto told = std::exchange(*waiting, nullptr)) told(kept);
+  const auto respond = [waiting](std::optional<LogPosition> position) {
+    if (const auto callback = std::exchange(*waiting, nullptr))
+      callback(position);
   };
-  // An asker that hears nothing would take this node for lost.
-  m_loop->After(m_thresholds->relay_answer, [answer] { answer(std::nullopt); });
+  // Respond before the requester times out and suspects this node.
+  m_loop->After(m_thresholds->relay_answer,
+                [respond] { respond(std::nullopt); });
   Append(
-      turn, PlaceFrom(PartitionOf(turn.program)),
+      turn, ChoosePartition(PartitionOf(turn.program)),
       [waiting] { return *waiting != nullptr; },
-      [this, turn, retention, answer](std::optional<LogPosition> kept) {
-        if (kept) {
+      [this, turn, retention, respond](std::optional<LogPosition> position) {
+        if (position) {
           m_history.Add(turn, m_loop->now(), retention + kRetentionSlack);
         }
-        answer(kept);
+        respond(position);
       });
 }
 
