--- a/src/yuccawick/gateway/peer_network.h
+++ b/src/yuccawick/gateway/peer_network.h
@@ -5,8 +5,9 @@
 // connection. Cap'n Proto RPC is not used because its event loop cannot share a
 // thread with net::EventLoop.
 //
-// Every request ends with a response, a closed connection or its timeout. After
-// the latter two the peer is suspected, see programs/membership.h.
+// Every request ends with a response, with nothing when the connection fails,
+// or with nothing after its timeout. A peer that breaks a connection or lets a
+// request time out is suspected, see programs/membership.h.
 #pragma once
 
 #include <functional>
--- a/src/yuccawick/gateway/peer_service.h
+++ b/src/yuccawick/gateway/peer_service.h
@@ -53,8 +53,8 @@
   std::vector<programs::NodeInfo> RankCoordinators(
       const std::string& key) const;
   // Sends the load of servers to the nodes of this zone, a log outage to all
-  // nodes, and capacity usage and charges to the other coordinators. Call
-  // often.
+  // nodes, and capacity usage and charges to the other coordinators. Also
+  // probes suspected nodes. Call often.
   void     SendReports();
   // The longest current log outage, in ms: of all turn partitions, or of any
   // one claim partition; 0: none.
--- a/src/yuccawick/gateway/token_coordinator.cc
+++ b/src/yuccawick/gateway/token_coordinator.cc
@@ -100,7 +100,7 @@
 }
 
 bool TokenCoordinator::Admit(Account* account, PendingRequest* request) {
-  // Until the claims are read, new programs cannot be told from known ones.
+  // Until the claims are read, new programs cannot be distinguished.
   if (request->admitted || !m_caught_up) return true;
   if (m_admission != nullptr) {
     admission::AdmissionRequest admission_request =
@@ -131,9 +131,9 @@
     if (account->tokens.MayFitLater(max_tokens)) return std::nullopt;
     return ReserveOutcome::kSpent;
   }
-  // Claims and reads are retried until the log is back. Until then each turn
-  // would wait for `home_answer` in vain, so its requester is told at once to
-  // try the coordinator next in rank.
+  // Claims and reads are retried until the log is back. Waiting for them would
+  // only delay each turn by `home_answer`, so the requester tries the
+  // coordinator next in rank at once.
   const bool stalled = m_appender.busy() || !m_caught_up;
   if (m_health.unavailable() && stalled) return ReserveOutcome::kUnsure;
   return std::nullopt;
--- a/src/yuccawick/gateway/token_coordinator.h
+++ b/src/yuccawick/gateway/token_coordinator.h
@@ -3,7 +3,8 @@
 //
 // Accounts are kept in memory and obtain tokens by appending claims to the
 // platform log. Reserve() completes at once if the account has enough tokens,
-// otherwise after one append, or with kHold after `home_answer` ms.
+// otherwise after one append. If that takes longer than `home_answer` ms, it
+// completes with kHold, or with kUnsure while the log is unavailable.
 //
 // A turn never runs on tokens that the log has not granted, and unused tokens
 // are released. Otherwise a loss of power on all nodes could grant the same
--- a/src/yuccawick/gateway/turn_store.h
+++ b/src/yuccawick/gateway/turn_store.h
@@ -29,7 +29,7 @@
 
 namespace yuccawick::gateway {
 
-// Requests to a reader that is still reading, before the next one is tried.
+// Retries at a reader that is still reading, before the next one is tried.
 inline constexpr int         kReaderRetries = 5;
 // Nodes of a zone that read a partition for it; the second takes over if the
 // first is unreachable or cannot reach the log. The bound keeps all nodes from
