--- a/bench/core_bench.cc
+++ b/bench/core_bench.cc
@@ -1,4 +1,5 @@
-// Processor time and memory of the core's decisions, at several sizes.
+// Microbenchmarks of the core: CPU time, heap and message sizes, for several
+// numbers of members and programs.
 #include <benchmark/benchmark.h>
 #include <capnp/message.h>
 #include <capnp/serialize.h>
@@ -14,7 +15,7 @@
 
 constexpr core::Time kStart = 1'000'000'000;
 
-// A control state with that many agents in six zones, 18 models.
+// Control stream of a group with `agents` agents in six zones, for 18 models.
 std::vector<core::LoggedRecord> ControlRecords(int agents) {
   std::vector<core::LoggedRecord> records;
   core::Offset                    offset = 0;
@@ -31,7 +32,8 @@
     core::JoinRecord join;
     join.node = {"vm-" + std::to_string(i), 1};
     join.zone = "zone-" + std::to_string(i % 6);
-    // The agent measured has no other server of its model to turn to.
+    // No other agent serves the model of the measured one, so that every call
+    // runs there.
     join.target = i == 0 ? "solo" : "model-" + std::to_string(i % 18);
     join.address = "127.0.0.1:1";
     add(join);
@@ -50,10 +52,11 @@
 
 std::size_t HeapBytes() { return mallinfo2().uordblks; }
 
-// One agent, its log answered at once and its replicas acknowledging at once.
-class Loop {
+// Drives one agent on a simulated clock; its log, backend server and replicas
+// answer immediately.
+class AgentHarness {
  public:
-  explicit Loop(int agents) : m_control(ControlRecords(agents)) {
+  explicit AgentHarness(int agents) : m_control(ControlRecords(agents)) {
     core::AgentSettings settings;
     settings.join.node = {"vm-0", 1};
     settings.join.zone = "zone-0";
@@ -68,7 +71,7 @@
     Feed(core::Tick{});
   }
 
-  // Lets the log take what waits for it.
+  // Ticks until pending records are appended to the log.
   void Settle() {
     for (int i = 0; i < 100; ++i) Tick();
   }
@@ -97,7 +100,7 @@
   core::Agent&     agent() { return *m_agent; }
   std::int64_t     messages() const { return m_messages; }
   std::int64_t     answered() const { return m_answered; }
-  // Reason of the last refusal; empty if nothing was refused.
+  // Reason of the last refusal; empty if there was none.
   std::string_view refusal() const { return m_refusal; }
 
  private:
@@ -105,17 +108,18 @@
     std::vector<core::Command> commands = m_agent->Handle(m_now, event);
     while (!commands.empty()) {
       std::vector<core::Command> next;
-      for (const auto& command : commands) Answer(command, &next);
+      for (const auto& command : commands) ExecuteCommand(command, &next);
       commands = std::move(next);
     }
   }
 
-  void Then(const core::Event& event, std::vector<core::Command>* next) {
+  void HandleEvent(const core::Event& event, std::vector<core::Command>* next) {
     for (auto& command : m_agent->Handle(m_now, event))
       next->push_back(std::move(command));
   }
 
-  void Answer(const core::Command& command, std::vector<core::Command>* next) {
+  void ExecuteCommand(const core::Command&        command,
+                      std::vector<core::Command>* next) {
     if (const auto* read = std::get_if<core::ReadRecords>(&command)) {
       core::ReadDone done;
       done.read = read->read;
@@ -125,7 +129,7 @@
       done.end = static_cast<core::Offset>(records.size());
       for (core::Offset i = read->from; i < done.end; ++i)
         done.records.push_back(records[static_cast<std::size_t>(i)]);
-      return Then(done, next);
+      return HandleEvent(done, next);
     }
     if (const auto* append = std::get_if<core::AppendRecords>(&command)) {
       const bool control = append->stream == core::kControlStream;
@@ -136,8 +140,8 @@
               {static_cast<core::Offset>(records.size()), record});
         }
       }
-      return Then(core::AppendDone{append->append, core::LogStatus::kOk, 0},
-                  next);
+      return HandleEvent(
+          core::AppendDone{append->append, core::LogStatus::kOk, 0}, next);
     }
     if (const auto* run = std::get_if<core::RunCall>(&command)) {
       core::RunDone done;
@@ -145,18 +149,20 @@
       done.ok = true;
       done.answer.text = std::string(240, 'y');
       done.answer.usage = {core::EstimateTokens(run->prompt), 0, 60};
-      return Then(done, next);
+      return HandleEvent(done, next);
     }
     const auto* send = std::get_if<core::SendMessage>(&command);
     if (send == nullptr) return;
     ++m_messages;
-    Reply(*send, next);
+    AnswerMessage(*send, next);
   }
 
-  void Reply(const core::SendMessage& send, std::vector<core::Command>* next) {
+  void AnswerMessage(const core::SendMessage&    send,
+                     std::vector<core::Command>* next) {
     const auto from = [&](core::Message message) {
-      Then(core::MessageReceived{send.to, m_agent->self(), std::move(message)},
-           next);
+      HandleEvent(
+          core::MessageReceived{send.to, m_agent->self(), std::move(message)},
+          next);
     };
     if (const auto* copy = std::get_if<core::Replicate>(&send.message))
       return from(core::ReplicateReply{copy->batch, true});
@@ -186,18 +192,18 @@
   std::string_view                m_refusal;
 };
 
-// One tick of an agent: members, programs.
+// One tick of an agent. Arguments: members, programs.
 void AgentTick(benchmark::State& state) {
-  Loop loop(static_cast<int>(state.range(0)));
-  for (int i = 0; i < state.range(1); ++i) loop.Start();
-  const auto   before = loop.messages();
+  AgentHarness harness(static_cast<int>(state.range(0)));
+  for (int i = 0; i < state.range(1); ++i) harness.Start();
+  const auto   before = harness.messages();
   std::int64_t ticks = 0;
   for (auto _ : state) {
-    loop.Tick();
+    harness.Tick();
     ++ticks;
   }
   state.counters["messages_per_s"] =
-      20.0 * static_cast<double>(loop.messages() - before) /
+      20.0 * static_cast<double>(harness.messages() - before) /
       static_cast<double>(ticks);
 }
 BENCHMARK(AgentTick)
@@ -207,39 +213,39 @@
     ->Args({600, 333})
     ->Unit(benchmark::kMicrosecond);
 
-// One model call through an agent: funding, recording at two replicas, running,
-// settling at two replicas, reply. Programs, turns already in the history.
+// One model call through an agent, from reservation to reply, with two
+// replicas. Arguments: programs, turns already in the history.
 void AgentCall(benchmark::State& state) {
-  Loop                         loop(600);
+  AgentHarness                 harness(600);
   std::vector<core::ProgramId> programs;
   programs.reserve(static_cast<std::size_t>(state.range(0)));
-  for (int i = 0; i < state.range(0); ++i) programs.push_back(loop.Start());
+  for (int i = 0; i < state.range(0); ++i) programs.push_back(harness.Start());
   core::Sequence sequence = 1;
   for (; sequence <= state.range(1); ++sequence) {
-    for (const auto& program : programs) loop.CallOnce(program, sequence);
-    loop.Settle();
+    for (const auto& program : programs) harness.CallOnce(program, sequence);
+    harness.Settle();
   }
-  const auto  before = loop.messages();
-  const auto  answered = loop.answered();
+  const auto  before = harness.messages();
+  const auto  answered = harness.answered();
   std::size_t next = 0;
   for (auto _ : state) {
     if (sequence > 140) {
-      state.SkipWithError("turns used up");
+      state.SkipWithError("turn limit of the contract reached");
       break;
     }
-    loop.CallOnce(programs[next], sequence);
+    harness.CallOnce(programs[next], sequence);
     if (++next < programs.size()) continue;
     next = 0;
     ++sequence;
     state.PauseTiming();
-    loop.Settle();
+    harness.Settle();
     state.ResumeTiming();
   }
-  if (!loop.refusal().empty())
-    state.SkipWithError(std::string(loop.refusal()).c_str());
-  const auto calls = static_cast<double>(loop.answered() - answered);
+  if (!harness.refusal().empty())
+    state.SkipWithError(std::string(harness.refusal()).c_str());
+  const auto calls = static_cast<double>(harness.answered() - answered);
   state.counters["messages_per_call"] =
-      static_cast<double>(loop.messages() - before) / calls;
+      static_cast<double>(harness.messages() - before) / calls;
 }
 BENCHMARK(AgentCall)
     ->Args({100, 1})
@@ -249,7 +255,7 @@
     ->Iterations(2000)
     ->Unit(benchmark::kMicrosecond);
 
-// A call through an entry: members.
+// One call through an entry. Argument: members.
 void EntryCall(benchmark::State& state) {
   core::EntrySettings settings;
   settings.self = {"entry", 1};
@@ -293,7 +299,8 @@
 }
 BENCHMARK(EntryTick)->Arg(60)->Arg(600)->Unit(benchmark::kMicrosecond);
 
-// Folding the whole control stream, and the heap it takes.
+// Applies the whole control stream; reports the heap it uses. Argument:
+// members.
 void ControlFold(benchmark::State& state) {
   const auto  records = ControlRecords(static_cast<int>(state.range(0)));
   std::size_t bytes = 0;
@@ -308,21 +315,22 @@
 }
 BENCHMARK(ControlFold)->Arg(60)->Arg(600)->Unit(benchmark::kMicrosecond);
 
-// Heap of a home's programs: programs, turns of 640 bytes each.
+// Heap per program of a coordinator. Arguments: programs, turns of 640 bytes.
 void ProgramMemory(benchmark::State& state) {
   double per_program = 0;
   for (auto _ : state) {
-    Loop                         loop(60);
+    AgentHarness                 harness(60);
     const auto                   before = HeapBytes();
     std::vector<core::ProgramId> programs;
     programs.reserve(static_cast<std::size_t>(state.range(0)));
-    for (int i = 0; i < state.range(0); ++i) programs.push_back(loop.Start());
+    for (int i = 0; i < state.range(0); ++i)
+      programs.push_back(harness.Start());
     for (core::Sequence s = 1; s <= state.range(1); ++s) {
-      for (const auto& program : programs) loop.CallOnce(program, s);
-      loop.Settle();
+      for (const auto& program : programs) harness.CallOnce(program, s);
+      harness.Settle();
     }
-    // Let the log take what was kept for it, and finished calls be forgotten.
-    for (int i = 0; i < 2000; ++i) loop.Tick();
+    // Drains pending appends and lets state of finished calls expire.
+    for (int i = 0; i < 2000; ++i) harness.Tick();
     per_program = static_cast<double>(HeapBytes() - before) /
                   static_cast<double>(state.range(0));
   }
@@ -335,7 +343,7 @@
     ->Iterations(1)
     ->Unit(benchmark::kMillisecond);
 
-// Writing and reading one message; its size on the wire without TCP's headers.
+// Serializes and parses one message; reports its size without TCP headers.
 void Wire(benchmark::State& state, const core::Message& message) {
   const rpc::Envelope envelope{
       {"vm-123", 77}, {"vm-45", 78}, "127.10.20.30:7000", message};
@@ -350,7 +358,7 @@
   state.counters["bytes"] = static_cast<double>(bytes);
 }
 
-core::Replicate TurnCopy() {
+core::Replicate MakeReplicate() {
   core::ProgramDelta delta;
   delta.meta.id = {{"vm-123", 77}, 5};
   delta.meta.customer = "sakhli";
@@ -365,7 +373,7 @@
 
 BENCHMARK_CAPTURE(Wire, probe, core::Probe{12});
 BENCHMARK_CAPTURE(Wire, probe_reply, core::ProbeReply{12, false, 3, 4});
-BENCHMARK_CAPTURE(Wire, replicate_640_bytes, TurnCopy());
+BENCHMARK_CAPTURE(Wire, replicate_640_bytes, MakeReplicate());
 
 }  // namespace
 }  // namespace yuccawick::bench
--- a/bench/engine_model.cc
+++ b/bench/engine_model.cc
@@ -27,33 +27,33 @@
 
 void EngineModel::Store(const core::ProgramId& program, core::Tokens tokens) {
   Release(program);
-  m_ages.push_back(program);
-  m_prefixes[program] = {tokens, std::prev(m_ages.end())};
-  m_held += tokens;
-  while (m_held > m_parameters.cache_tokens && m_prefixes.size() > 1)
-    Release(core::ProgramId(m_ages.front()));
+  m_lru.push_back(program);
+  m_prefixes[program] = {tokens, std::prev(m_lru.end())};
+  m_cached_tokens += tokens;
+  while (m_cached_tokens > m_parameters.cache_tokens && m_prefixes.size() > 1)
+    Release(core::ProgramId(m_lru.front()));
 }
 
 void EngineModel::Release(const core::ProgramId& program) {
   const auto it = m_prefixes.find(program);
   if (it == m_prefixes.end()) return;
-  m_held -= it->second.tokens;
-  m_ages.erase(it->second.age);
+  m_cached_tokens -= it->second.tokens;
+  m_lru.erase(it->second.lru_position);
   m_prefixes.erase(it);
 }
 
 void EngineModel::Reset() {
   m_calls.clear();
   m_prefixes.clear();
-  m_ages.clear();
-  m_held = 0;
+  m_lru.clear();
+  m_cached_tokens = 0;
 }
 
 std::vector<std::uint64_t> EngineModel::Advance(double now) {
   std::vector<std::uint64_t> finished;
   while (!m_calls.empty() && m_now < now) {
-    // One step: every call past its prefill gets a token; one call's prefill is
-    // computed meanwhile, a step's worth at a time.
+    // One step: each call past its prefill generates a token. The prefill
+    // budget of the step goes to the other calls in order of their run number.
     const double step =
         (m_parameters.step_ms + m_parameters.step_ms_per_call *
                                     static_cast<double>(m_calls.size() - 1)) *
--- a/bench/engine_model.h
+++ b/bench/engine_model.h
@@ -1,14 +1,9 @@
-// A model of a model engine, to drive the core's decisions by events.
+// Simulated model engine with continuous batching and an LRU prefix cache, for
+// benchmarks that drive the core on a simulated clock.
 //
-// Continuous batching: every call in the batch gets one token a step; a step
-// takes longer the more calls are in it. A call first computes the part of its
-// prompt that the prefix cache lacks, during which the batch slows down. The
-// cache is limited and drops the least recently used prefix. Load is told with
-// a lag by whoever asks.
-//
-// Parameters stand for a mid-size model on one accelerator group, from round
-// numbers that operators commonly quote, not from measurements of ours:
-// 10 prompt tokens a ms, 25 ms a step alone, 0.6 ms more for each further call.
+// In each step every call that has finished its prefill generates one token;
+// step time grows with the batch size. A call first computes the part of its
+// prompt that is not in the prefix cache.
 #pragma once
 
 #include <cstdint>
@@ -22,11 +17,11 @@
 
 struct EngineParameters {
   double       prefill_tokens_per_ms = 10;
-  double       step_ms = 25;            // one token for a batch of one
-  double       step_ms_per_call = 0.6;  // more for each further call
-  std::size_t  batch = 16;
-  core::Tokens cache_tokens = 300'000;  // beside the calls under way
-  double       slowdown = 1;            // of everything, for a slow engine
+  double       step_ms = 25;            // step time of a batch of one
+  double       step_ms_per_call = 0.6;  // added by each further call
+  std::size_t  max_batch = 16;
+  core::Tokens cache_tokens = 300'000;  // prefix cache, without running calls
+  double       slowdown = 1;            // multiplies the time of every step
 };
 
 class EngineModel {
@@ -34,19 +29,21 @@
   explicit EngineModel(EngineParameters parameters)
       : m_parameters(parameters) {}
 
-  // Takes a call whose prompt has `prompt` tokens and that will generate
-  // `tokens`. Returns how many prompt tokens the cache had.
+  // Starts a call with a prompt of `prompt` tokens that generates `tokens`
+  // tokens. Returns the number of prompt tokens found in the cache.
   core::Tokens Start(std::uint64_t run, const core::ProgramId& program,
                      core::Tokens prompt, core::Tokens tokens);
-  // Runs until `now`; the calls that finished, in order.
+  // Simulates until `now` (ms). Returns the finished calls in order.
   std::vector<std::uint64_t> Advance(double now);
   void                       Release(const core::ProgramId& program);
-  // The engine dies: everything under way and cached is gone.
+  // Simulates a crash: drops all running calls and cached prefixes.
   void                       Reset();
   void SetSlowdown(double slowdown) { m_parameters.slowdown = slowdown; }
 
   std::size_t  running() const { return m_calls.size(); }
-  core::Tokens computed() const { return m_computed; }  // prompt tokens
+  core::Tokens computed() const {
+    return m_computed;
+  }  // prompt tokens computed
   core::Tokens cached_for(const core::ProgramId& program) const;
 
  private:
@@ -59,7 +56,7 @@
   };
   struct Prefix {
     core::Tokens                         tokens = 0;
-    std::list<core::ProgramId>::iterator age;
+    std::list<core::ProgramId>::iterator lru_position;
   };
 
   void Store(const core::ProgramId& program, core::Tokens tokens);
@@ -68,8 +65,8 @@
   double                            m_now = 0;
   std::map<std::uint64_t, Call>     m_calls;
   std::map<core::ProgramId, Prefix> m_prefixes;
-  std::list<core::ProgramId>        m_ages;  // least recently used first
-  core::Tokens                      m_held = 0;
+  std::list<core::ProgramId>        m_lru;  // least recently used first
+  core::Tokens                      m_cached_tokens = 0;
   core::Tokens                      m_computed = 0;
 };
 
--- a/bench/overload_bench.cc
+++ b/bench/overload_bench.cc
@@ -1,8 +1,7 @@
-// How much useful work is left when more comes than the servers carry, and who
-// pays for it: the decisions of admission, fairness and placement before models
-// of servers. Each table has the same load with an open door beside it. All is
-// counted on a manual clock, so the figures are the same every time. Exits 1 if
-// a bound is broken.
+// Benchmark of goodput and fairness under overload: the real admission,
+// fairness and placement code with simulated model servers, compared with no
+// admission control under the same load. Runs on a simulated clock, so results
+// are deterministic. Exits 1 if a bound is broken.
 #include <algorithm>
 #include <iomanip>
 #include <iostream>
@@ -14,22 +13,25 @@
 namespace yuccawick::bench {
 namespace {
 
-constexpr unsigned kSeeds = 4;
-// Part of what the servers carry that comes usually.
-constexpr double   kUsual = 0.8;
-constexpr Door     kDoors[] = {Door::kOpen, Door::kRoom, Door::kShares};
+constexpr unsigned      kSeeds = 4;
+// Load outside of bursts, as a fraction of the sustainable load.
+constexpr double        kNormalLoad = 0.8;
+constexpr AdmissionMode kModes[] = {AdmissionMode::kAdmitAll,
+                                    AdmissionMode::kCapacityOnly,
+                                    AdmissionMode::kFairShare};
 
 using Count = OverloadResult::Count;
 
-// Over the seeds, of those that asked within the time.
-Count Sum(Load load, const OverloadSettings& settings, double from,
-          double until, int route = -1, int but_workspace = -1) {
+// Adds up the counts of all seeds; goodput is averaged.
+Count CountOverSeeds(Load load, const OverloadSettings& settings, double from,
+                     double until, int route = -1,
+                     int excluded_workspace = -1) {
   Count sum;
   for (unsigned seed = 1; seed <= kSeeds; ++seed) {
     load.seed = seed;
-    const auto one =
-        RunOverload(load, settings).Of(from, until, route, but_workspace);
-    sum.asked += one.asked;
+    const auto one = RunOverload(load, settings)
+                         .CountPrograms(from, until, route, excluded_workspace);
+    sum.arrived += one.arrived;
     sum.in_time += one.in_time;
     sum.late += one.late;
     sum.refused += one.refused;
@@ -39,7 +41,7 @@
   return sum;
 }
 
-double Part(int part, int whole) {
+double Fraction(int part, int whole) {
   return whole == 0 ? 0 : static_cast<double>(part) / whole;
 }
 
@@ -49,107 +51,112 @@
   return holds;
 }
 
-// Places of the servers that work in time, while the load lasts.
-bool GoodputStays() {
-  constexpr double kFrom = 3000;
-  constexpr double kUntil = 12'000;
+// Goodput must not collapse when the load exceeds the capacity.
+bool CheckGoodputUnderLoad() {
+  constexpr double kBegin = 3000;
+  constexpr double kEnd = 12'000;
   std::cout
-      << "\nLoad        door             goodput  in time     late  refused"
+      << "\nLoad        mode             goodput  in time     late  refused"
          "   failed\n";
   bool holds = true;
-  for (const Door door : kDoors) {
+  for (const AdmissionMode mode : kModes) {
     std::vector<double> goodput;
-    for (const double times : {1.0, 1.5, 2.0, 3.0}) {
+    for (const double factor : {1.0, 1.5, 2.0, 3.0}) {
       Load load;
-      load.base = times;
-      const Count count = Sum(load, {door, 0, {}}, kFrom, kUntil);
+      load.base = factor;
+      const Count count = CountOverSeeds(load, {mode, 0, {}}, kBegin, kEnd);
       goodput.push_back(count.goodput);
-      std::cout << std::setw(4) << times << "        " << std::left
-                << std::setw(15) << Name(door) << std::right << std::setw(9)
+      std::cout << std::setw(4) << factor << "        " << std::left
+                << std::setw(15) << Name(mode) << std::right << std::setw(9)
                 << count.goodput << std::setw(9)
-                << Part(count.in_time, count.asked) << std::setw(9)
-                << Part(count.late, count.asked) << std::setw(9)
-                << Part(count.refused, count.asked) << std::setw(9)
-                << Part(count.failed, count.asked) << "\n";
+                << Fraction(count.in_time, count.arrived) << std::setw(9)
+                << Fraction(count.late, count.arrived) << std::setw(9)
+                << Fraction(count.refused, count.arrived) << std::setw(9)
+                << Fraction(count.failed, count.arrived) << "\n";
     }
     const double peak = *std::max_element(goodput.begin(), goodput.end());
-    const double least = *std::min_element(goodput.begin(), goodput.end());
-    if (door == Door::kShares) {
-      holds = Check(least >= 0.9 * peak, "GoodputAtThreeTimesTheLoad",
+    const double minimum = *std::min_element(goodput.begin(), goodput.end());
+    if (mode == AdmissionMode::kFairShare) {
+      holds = Check(minimum >= 0.9 * peak, "GoodputAtThreeTimesTheLoad",
                     "goodput at 1, 1.5, 2 and 3 times the load stays within a "
                     "tenth of its peak: " +
-                        std::to_string(least / peak));
+                        std::to_string(minimum / peak));
     }
   }
   return holds;
 }
 
-// Four seconds of three times what the servers carry. In the first two the door
-// is open and the servers' memory fills; then homes start that know nothing of
-// what is under way. Programs under way are not ended, so if homes start only
-// as the burst ends, its backlog has to be worked off first; that row has no
-// bound.
-bool GoodputComesBack() {
-  constexpr double kBurstEnds = 6000;
-  constexpr double kFrom = kBurstEnds + 3000;
-  constexpr double kUntil = kFrom + 5000;
-  Load             calm;
-  calm.base = kUsual;
-  Load burst = calm;
-  burst.times = 3 / kUsual;
-  burst.from = kBurstEnds - 4000;
-  burst.until = kBurstEnds;
-  const double usual = Sum(calm, {Door::kOpen, 0, {}}, kFrom, kUntil).goodput;
+// Goodput must recover after a burst of 4 s at three times the sustainable
+// load. In its first half all programs are admitted and server memory fills up;
+// then the coordinators start. If they start only at the end of the burst, the
+// backlog has to be worked off first, so that case has no bound.
+bool CheckGoodputAfterBurst() {
+  constexpr double kBurstEnd = 6000;
+  constexpr double kBegin = kBurstEnd + 3000;
+  constexpr double kEnd = kBegin + 5000;
+  Load             normal_load;
+  normal_load.base = kNormalLoad;
+  Load burst = normal_load;
+  burst.factor = 3 / kNormalLoad;
+  burst.from = kBurstEnd - 4000;
+  burst.until = kBurstEnd;
+  const double normal =
+      CountOverSeeds(normal_load, {AdmissionMode::kAdmitAll, 0, {}}, kBegin,
+                     kEnd)
+          .goodput;
   std::cout << "\nGoodput from 3 s after a burst that filled the servers; "
-            << usual
-            << " without it\ndoor           homes start in the burst"
+            << normal
+            << " without it\nmode    coordinators start in the burst"
                "   at its end\n";
   bool holds = true;
-  for (const Door door : kDoors) {
-    const auto after = [&](double open_until) {
-      return Sum(burst, {door, open_until, {}}, kFrom, kUntil).goodput;
+  for (const AdmissionMode mode : kModes) {
+    const auto after = [&](double admit_all_until) {
+      return CountOverSeeds(burst, {mode, admit_all_until, {}}, kBegin, kEnd)
+          .goodput;
     };
-    const double within = after(kBurstEnds - 2000);
-    std::cout << std::left << std::setw(15) << Name(door) << std::right
-              << std::setw(24) << within << std::setw(13) << after(kBurstEnds)
-              << "\n";
-    if (door == Door::kShares) {
-      holds = Check(within >= 0.9 * usual, "GoodputAfterBurst",
-                    "goodput is back at nine tenths 3 s after the burst: " +
-                        std::to_string(within / usual));
+    const double during_burst = after(kBurstEnd - 2000);
+    std::cout << std::left << std::setw(15) << Name(mode) << std::right
+              << std::setw(24) << during_burst << std::setw(13)
+              << after(kBurstEnd) << "\n";
+    if (mode == AdmissionMode::kFairShare) {
+      holds = Check(during_burst >= 0.9 * normal, "GoodputAfterBurst",
+                    "goodput is at least 90% of normal 3 s after the burst: " +
+                        std::to_string(during_burst / normal));
     }
   }
   return holds;
 }
 
-// One of ten workspaces sends eight times its usual for eight seconds.
-bool OthersKeepTheirs() {
-  constexpr int    kHot = 0;
-  constexpr double kFrom = 4000;
-  constexpr double kUntil = 12'000;
-  Load             calm;
-  calm.base = kUsual;
-  Load hot = calm;
-  hot.hot = kHot;
-  hot.times = 8;
-  hot.from = kFrom;
-  hot.until = kUntil;
-  std::cout << "\nPart in time of the others, beside a workspace that sends "
-               "eight times its usual\n";
+// A workspace that sends eight times its normal load for 8 s must not slow down
+// the other nine.
+bool CheckCostOfHotWorkspace() {
+  constexpr int    kHotWorkspace = 0;
+  constexpr double kBegin = 4000;
+  constexpr double kEnd = 12'000;
+  Load             normal_load;
+  normal_load.base = kNormalLoad;
+  Load hot = normal_load;
+  hot.hot = kHotWorkspace;
+  hot.factor = 8;
+  hot.from = kBegin;
+  hot.until = kEnd;
+  std::cout << "\nFraction in time of other workspaces while one sends "
+               "eight times its normal load\n";
   bool holds = true;
-  for (const Door door : kDoors) {
+  for (const AdmissionMode mode : kModes) {
     const auto part = [&](const Load& load) {
-      const Count count = Sum(load, {door, 0, {}}, kFrom, kUntil, -1, kHot);
-      return Part(count.in_time, count.asked);
+      const Count count =
+          CountOverSeeds(load, {mode, 0, {}}, kBegin, kEnd, -1, kHotWorkspace);
+      return Fraction(count.in_time, count.arrived);
     };
-    const double before = part(calm);
-    const double beside = part(hot);
-    std::cout << std::left << std::setw(15) << Name(door) << std::right
-              << std::setw(9) << beside << ", without it " << before << "\n";
-    if (door == Door::kShares) {
-      holds = Check(beside >= 0.95 * before, "CostOfHotWorkspace",
-                    "a hot workspace costs the others under 5 in 100: " +
-                        std::to_string(1 - beside / before));
+    const double before = part(normal_load);
+    const double with_hot = part(hot);
+    std::cout << std::left << std::setw(15) << Name(mode) << std::right
+              << std::setw(9) << with_hot << ", without it " << before << "\n";
+    if (mode == AdmissionMode::kFairShare) {
+      holds = Check(with_hot >= 0.95 * before, "CostOfHotWorkspace",
+                    "a hot workspace costs the others less than 5%: " +
+                        std::to_string(1 - with_hot / before));
     }
   }
   return holds;
@@ -157,9 +164,9 @@
 
 int Run() {
   std::cout << std::fixed << std::setprecision(2);
-  bool holds = GoodputStays();
-  holds = GoodputComesBack() && holds;
-  holds = OthersKeepTheirs() && holds;
+  bool holds = CheckGoodputUnderLoad();
+  holds = CheckGoodputAfterBurst() && holds;
+  holds = CheckCostOfHotWorkspace() && holds;
   return holds ? 0 : 1;
 }
 
--- a/bench/overload_run.h
+++ b/bench/overload_run.h
@@ -1,10 +1,9 @@
-// Programs of two routes before model servers that they can overload: the real
-// AdmissionController, FairnessPolicy and Placement at several homes and nodes
-// that hear of each other now and then, on a manual clock.
+// Simulates programs of two routes on model servers that they can overload,
+// with the real AdmissionController, FairnessPolicy and Placement. Several
+// coordinators and nodes exchange reports periodically on a simulated clock.
 //
-// A client that is refused comes back once, after the time that it was told.
-// One whose turn is not answered within its patience sends it again, twice at
-// most.
+// A refused client retries once, after the retry delay it received. A client
+// whose turn times out sends the turn again, at most twice.
 #pragma once
 
 #include <cstdint>
@@ -15,13 +14,13 @@
 
 namespace yuccawick::bench {
 
-// How programs are let in.
-enum class Door : std::uint8_t {
-  kOpen,  // all begin
-  kRoom,  // where there is room, first come, first served
-  kShares,
+// Which programs are admitted.
+enum class AdmissionMode : std::uint8_t {
+  kAdmitAll,      // no admission control
+  kCapacityOnly,  // by free capacity, first come, first served
+  kFairShare,     // by free capacity and fair share
 };
-std::string_view Name(Door door);
+std::string_view Name(AdmissionMode mode);
 
 enum class Outcome : std::uint8_t {
   kUnderWay,
@@ -32,26 +31,27 @@
 };
 
 struct PlannedTurn {
-  std::int64_t input = 0;  // new tokens
-  std::int64_t made = 0;
-  double       pause = 0;  // ms after it
+  std::int64_t input = 0;  // new prompt tokens
+  std::int64_t output_tokens = 0;
+  double       think_time = 0;  // ms after the turn
 };
 
 struct OverloadProgram {
-  double                   asks = 0;  // ms
+  double                   arrival = 0;  // ms
   std::size_t              route = 0;
   std::size_t              workspace = 0;
   std::vector<PlannedTurn> turns;
-  double                   work = 0;  // ms of places, alone at a server
-  double                   aim = 0;   // ms within which it should end
+  double                   work = 0;          // slot time at an idle server, ms
+  double                   latency_goal = 0;  // ms from arrival to the end
   Outcome                  outcome = Outcome::kUnderWay;
 };
 
-// Load 1 is what the servers carry. Between the two times it is `times` as
-// much, of one workspace or, if that is -1, of all.
+// Offered load; 1 is the load that the servers can sustain. From `from` to
+// `until` (ms) the load of the workspace `hot`, or of all workspaces if it is
+// -1, is multiplied by `factor`.
 struct Load {
   double   base = 1;
-  double   times = 1;
+  double   factor = 1;
   double   from = 0;
   double   until = 0;
   int      hot = -1;
@@ -61,31 +61,31 @@
 };
 
 struct OverloadSettings {
-  Door                door = Door::kShares;
-  // Until then the door is open, and the homes know nothing of what came
-  // before.
-  double              open_until = 0;
-  std::vector<double> slowdowns;  // of servers; empty: all alike
+  AdmissionMode       mode = AdmissionMode::kFairShare;
+  // Until this time (ms) all programs are admitted. The coordinators start
+  // then, without knowledge of the programs already running.
+  double              admit_all_until = 0;
+  std::vector<double> slowdowns;  // per server; empty: none is slow
 };
 
 struct OverloadResult {
   std::vector<OverloadProgram> programs;
   std::vector<int>             turns_of_server;
-  std::int64_t                 read = 0;  // prompt tokens
+  std::int64_t                 prefilled = 0;  // prompt tokens computed
   int                          preempted = 0;
 
   struct Count {
-    int    asked = 0;
+    int    arrived = 0;
     int    in_time = 0;
     int    late = 0;
     int    refused = 0;
     int    failed = 0;
-    double goodput = 0;  // work of those in time, in places
+    double goodput = 0;  // average slots used by programs in time
   };
-  // Those that asked in that time; of one route or of all but one workspace, if
-  // these are not -1.
-  Count Of(double from, double until, int route = -1,
-           int but_workspace = -1) const;
+  // Counts the programs that arrived between `from` and `until` (ms),
+  // optionally only those of `route` or without those of `excluded_workspace`.
+  Count CountPrograms(double from, double until, int route = -1,
+                      int excluded_workspace = -1) const;
 };
 
 inline constexpr int kOverloadServers = 12;
--- a/bench/policy_bench.cc
+++ b/bench/policy_bench.cc
@@ -1,7 +1,7 @@
-// Policies side by side on the same seeds: program latency, programs finished
-// whole, wasted cache, refusals; with and without trouble, at one to three
-// times the capacity. Everything is counted, nothing is timed: the figures are
-// the same every time. Exits 1 if a regression bound is broken.
+// Compares scheduling policies on the same programs: program latency, completed
+// programs, wasted prefill, refusals; with and without engine faults, at one to
+// three times the capacity. Runs on a simulated clock, so results are
+// deterministic. Exits 1 if a regression bound is broken.
 #include <Poco/JSON/Array.h>
 #include <Poco/JSON/Object.h>
 #include <gflags/gflags.h>
@@ -15,9 +15,9 @@
 #include "policy_run.h"
 #include "svg.h"
 
-DEFINE_uint64(seed, 1, "of the programs");
-DEFINE_string(json, "", "file to write the results to");
-DEFINE_string(plots, "", "folder to draw the plots into");
+DEFINE_uint64(seed, 1, "seed of the generated programs");
+DEFINE_string(json, "", "file to which the results are written, as JSON");
+DEFINE_string(plots, "", "folder to which the plots are written, as SVG");
 
 namespace yuccawick::bench {
 namespace {
@@ -25,17 +25,17 @@
 struct Row {
   std::string scenario;
   double      load = 1;
-  std::string trouble;
+  std::string fault;
   RunResult   result;
 };
 
-const char* NameOf(Trouble trouble) {
-  switch (trouble) {
-    case Trouble::kEngineLost:
+const char* FaultName(Fault fault) {
+  switch (fault) {
+    case Fault::kEngineCrash:
       return "engine lost";
-    case Trouble::kEngineSlow:
+    case Fault::kEngineSlowdown:
       return "engine slow";
-    case Trouble::kNone:
+    case Fault::kNone:
       break;
   }
   return "none";
@@ -46,15 +46,15 @@
   for (const auto& [reason, count] : row.result.refusals) refusals += count;
   std::cout << std::left << std::setw(10) << row.scenario << std::right
             << std::fixed << std::setprecision(0) << std::setw(3) << row.load
-            << "x " << std::left << std::setw(12) << row.trouble
-            << std::setw(22) << row.result.policy << std::right
-            << std::setprecision(1) << std::setw(8) << row.result.p50
-            << std::setw(8) << row.result.p95 << std::setw(8) << row.result.p99
-            << std::setw(6) << row.result.finished << "/" << std::left
-            << std::setw(6) << row.result.programs << std::right
-            << std::setw(10) << row.result.wasted << std::setw(8) << refusals
-            << std::setw(9) << row.result.goodput << std::setw(10)
-            << row.result.first_class_p95 << "\n";
+            << "x " << std::left << std::setw(12) << row.fault << std::setw(22)
+            << row.result.policy << std::right << std::setprecision(1)
+            << std::setw(8) << row.result.p50 << std::setw(8) << row.result.p95
+            << std::setw(8) << row.result.p99 << std::setw(6)
+            << row.result.finished << "/" << std::left << std::setw(6)
+            << row.result.programs << std::right << std::setw(10)
+            << row.result.wasted << std::setw(8) << refusals << std::setw(9)
+            << row.result.goodput << std::setw(10) << row.result.first_class_p95
+            << "\n";
 }
 
 Poco::JSON::Object::Ptr ToJson(const Row& row) {
@@ -62,7 +62,7 @@
       new Poco::JSON::Object(Poco::JSON_PRESERVE_KEY_ORDER);
   json->set("scenario", row.scenario);
   json->set("load", row.load);
-  json->set("trouble", row.trouble);
+  json->set("trouble", row.fault);
   json->set("policy", row.result.policy);
   json->set("programs", row.result.programs);
   json->set("finished", row.result.finished);
@@ -102,13 +102,13 @@
         {"oldest+crowding", oldest, crowding},
         {"oldest+crowding+room", oldest, crowding, true}};
     std::cout << "customer  load trouble     policy                     p50 s"
-                 "   p95 s   p99 s  whole in time    wasted refused  per min  "
+                 "   p95 s   p99 s  done in time     wasted refused  per min  "
                  "1st class p95\n";
     for (const auto* name : {"sakhli", "mandacaru"}) {
       for (const double load : {1.0, 2.0, 3.0}) Run(name, load, policies, {});
-      for (const auto trouble : {Trouble::kEngineLost, Trouble::kEngineSlow}) {
+      for (const auto fault : {Fault::kEngineCrash, Fault::kEngineSlowdown}) {
         RunSettings settings;
-        settings.trouble = trouble;
+        settings.fault = fault;
         Run(name, 1, policies, settings);
       }
     }
@@ -128,7 +128,7 @@
       }));
     }
     for (auto& result : results) {
-      m_rows.push_back({name, load, NameOf(settings.trouble), result.get()});
+      m_rows.push_back({name, load, FaultName(settings.fault), result.get()});
       Print(m_rows.back());
     }
   }
@@ -140,29 +140,29 @@
                       double load, const std::string& policy) {
   for (const auto& row : rows) {
     const bool same = row.scenario == scenario && row.load == load &&
-                      row.trouble == "none" && row.result.policy == policy;
+                      row.fault == "none" && row.result.policy == policy;
     if (same) return row.result;
   }
-  std::cerr << "no such row\n";
+  std::cerr << "result of a bound is missing\n";
   std::exit(1);
 }
 
-// Bounds are ratios within this run.
+// Checks bounds on ratios between results of this run.
 bool BoundsHold(const std::vector<Row>& rows) {
-  bool       held = true;
-  const auto expect = [&held](bool ok, const std::string& what) {
+  bool       all_hold = true;
+  const auto expect = [&all_hold](bool ok, const std::string& what) {
     std::cout << (ok ? "bound holds:  " : "BOUND BROKEN: ") << what << "\n";
-    held = held && ok;
+    all_hold = all_hold && ok;
   };
-  const std::string ours = "oldest+crowding+room";
+  const std::string candidate = "oldest+crowding+room";
   for (const double load : {1.0, 2.0, 3.0}) {
     const auto  at = " at " + std::to_string(static_cast<int>(load)) + "x";
-    const auto& s = Find(rows, "sakhli", load, ours);
+    const auto& s = Find(rows, "sakhli", load, candidate);
     const auto& s1 = Find(rows, "sakhli", load, "fifo+least_loaded");
     const auto& s2 = Find(rows, "sakhli", load, "fifo+sticky");
     expect(s.p95 <= 1.02 * std::min(s1.p95, s2.p95),
            "sakhli p95 no more than 1.02 of the better baseline" + at);
-    const auto& m = Find(rows, "mandacaru", load, ours);
+    const auto& m = Find(rows, "mandacaru", load, candidate);
     const auto& m1 = Find(rows, "mandacaru", load, "fifo+least_loaded");
     const auto& m2 = Find(rows, "mandacaru", load, "fifo+sticky");
     expect(static_cast<double>(m.wasted) <=
@@ -176,12 +176,12 @@
            "mandacaru p95 no more than 1.10 of the better baseline" + at);
   }
   for (const auto* name : {"sakhli", "mandacaru"}) {
-    const double one = Find(rows, name, 1, ours).goodput;
-    const double three = Find(rows, name, 3, ours).goodput;
+    const double one = Find(rows, name, 1, candidate).goodput;
+    const double three = Find(rows, name, 3, candidate).goodput;
     expect(three >= 0.9 * one,
            std::string(name) + " goodput at 3x no less than 0.9 of 1x");
   }
-  return held;
+  return all_hold;
 }
 
 void WriteJson(const std::vector<Row>& rows) {
@@ -201,7 +201,7 @@
   std::vector<std::string> series;
   std::vector<BarGroup>    groups;
   for (const auto& row : rows) {
-    if (row.trouble != "none") continue;
+    if (row.fault != "none") continue;
     const std::string label =
         row.scenario + " " + std::to_string(static_cast<int>(row.load)) + "x";
     if (groups.empty() || groups.back().label != label)
@@ -219,7 +219,7 @@
        [](const RunResult& r) { return r.p95; });
   Plot(rows, "policy-waste", "Prompt tokens computed again, millions",
        [](const RunResult& r) { return static_cast<double>(r.wasted) / 1e6; });
-  Plot(rows, "policy-whole", "Programs whole in time, per cent",
+  Plot(rows, "policy-whole", "Programs completed in time, percent",
        [](const RunResult& r) {
          return 100.0 * static_cast<double>(r.finished) /
                 static_cast<double>(r.programs);
--- a/bench/policy_run.cc
+++ b/bench/policy_run.cc
@@ -17,9 +17,9 @@
 constexpr core::Duration kStep = 5;           // ms
 constexpr core::Duration kTick = 50;
 constexpr core::Duration kPrefixHold = 1'200'000;
-constexpr core::Duration kTroubleAt = 30'000;  // into the run
-constexpr core::Duration kNoticed = 2500;      // ms until a loss is acted upon
-constexpr double         kSlow = 4;
+constexpr core::Duration kFaultTime = 30'000;            // ms into the run
+constexpr core::Duration kFailureDetectionDelay = 2500;  // ms
+constexpr double         kSlowdownFactor = 4;
 constexpr double         kMsPerSecond = 1000;
 constexpr double         kMsPerMinute = 60'000;
 
@@ -36,16 +36,16 @@
 struct Program {
   const PlannedProgram*               plan = nullptr;
   core::ProgramId                     id;
-  std::size_t                         next = 0;  // call
+  std::size_t                         next_call = 0;  // index of the next call
   core::Tokens                        history = 0;
   core::Tokens                        attained = 0;
-  std::size_t                         home = 0;
+  std::size_t                         coordinator = 0;
   std::map<std::size_t, core::Tokens> prefixes;
-  bool                                has_home = false;
+  bool                                has_coordinator = false;
   bool                                done = false;
   bool                                in_time = false;
-  std::size_t                         server = 0;  // of the call under way
-  std::uint64_t  dispatch = 0;  // of the call under way; 0: none
+  std::size_t                         server = 0;  // of the running call
+  std::uint64_t  dispatch = 0;  // of the running call; 0: none
   core::Duration latency = 0;
 };
 
@@ -61,21 +61,21 @@
       program.id = {{"bench", 1}, i + 1};
       program.history = program.plan->history;
       m_programs.push_back(program);
-      ++m_open;
-      At(kStart + program.plan->arrives, i);
+      ++m_unfinished;
+      Schedule(kStart + program.plan->arrival, i);
     }
   }
 
   RunResult Run() {
-    const core::Time end = kStart + m_settings.limit;
-    for (m_now = kStart; m_now < end && m_open > 0; m_now += kStep) {
-      MakeTrouble();
-      while (!m_due.empty() && m_due.top().first <= m_now) {
-        const std::size_t index = m_due.top().second;
-        m_due.pop();
-        Issue(index);
+    const core::Time end = kStart + m_settings.max_duration;
+    for (m_now = kStart; m_now < end && m_unfinished > 0; m_now += kStep) {
+      InjectFault();
+      while (!m_events.empty() && m_events.top().first <= m_now) {
+        const std::size_t index = m_events.top().second;
+        m_events.pop();
+        SendNextCall(index);
       }
-      for (std::size_t i = 0; i < m_servers.size(); ++i) Work(i);
+      for (std::size_t i = 0; i < m_servers.size(); ++i) AdvanceServer(i);
     }
     return Result();
   }
@@ -85,10 +85,10 @@
     auto server = std::make_unique<Server>();
     server->node = {"server-" + std::to_string(number), 1};
     core::ExecutorSettings settings;
-    settings.slots = EngineParameters{}.batch;
+    settings.slots = EngineParameters{}.max_batch;
     settings.decode_tokens_per_ms = 1 / 34.0;
     settings.prefix_hold = kPrefixHold;
-    if (m_policy.limits)
+    if (m_policy.limit_prefixes)
       settings.prefix_tokens = EngineParameters{}.cache_tokens;
     server->executor = std::make_unique<core::Executor>(
         server->node, settings, core::Safeguards::All(), m_policy.queue,
@@ -98,15 +98,17 @@
     m_servers.push_back(std::move(server));
   }
 
-  void At(core::Time time, std::size_t program) { m_due.push({time, program}); }
+  void Schedule(core::Time time, std::size_t program) {
+    m_events.push({time, program});
+  }
 
-  void MakeTrouble() {
-    if (m_settings.trouble == Trouble::kNone || m_troubled) return;
-    if (m_now < kStart + kTroubleAt) return;
-    m_troubled = true;
+  void InjectFault() {
+    if (m_settings.fault == Fault::kNone || m_fault_injected) return;
+    if (m_now < kStart + kFaultTime) return;
+    m_fault_injected = true;
     Server& first = *m_servers.front();
-    if (m_settings.trouble == Trouble::kEngineSlow) {
-      first.engine->SetSlowdown(kSlow);
+    if (m_settings.fault == Fault::kEngineSlowdown) {
+      first.engine->SetSlowdown(kSlowdownFactor);
       return;
     }
     first.alive = false;
@@ -114,11 +116,11 @@
     for (std::size_t i = 0; i < m_programs.size(); ++i) {
       Program& program = m_programs[i];
       program.prefixes.erase(0);
-      if (program.home == 0) program.has_home = false;
+      if (program.coordinator == 0) program.has_coordinator = false;
       if (program.dispatch == 0 || program.server != 0) continue;
-      // Its call was there; it comes back once the loss is noticed.
+      // Its call is sent again once the failure has been detected.
       program.dispatch = 0;
-      At(m_now + kNoticed, i);
+      Schedule(m_now + kFailureDetectionDelay, i);
     }
   }
 
@@ -127,8 +129,8 @@
     for (std::size_t i = 0; i < m_servers.size(); ++i) {
       core::RouteCandidate candidate;
       candidate.usable = m_servers[i]->alive;
-      candidate.is_home = program.has_home && program.home == i;
-      // The home knows its own load now, others' as of its last look.
+      candidate.is_home = program.has_coordinator && program.coordinator == i;
+      // A coordinator knows its own load exactly, others' as last reported.
       candidate.wait = candidate.is_home ? m_servers[i]->executor->LoadMs()
                                          : m_servers[i]->known_load;
       candidate.resident = m_servers[i]->known_resident;
@@ -139,47 +141,47 @@
     return candidates;
   }
 
-  void Issue(std::size_t index) {
+  void SendNextCall(std::size_t index) {
     Program& program = m_programs[index];
     if (program.done) return;
     const PlannedProgram& plan = *program.plan;
-    const core::Time      gives_up = kStart + plan.arrives + plan.patience;
-    if (m_now >= gives_up) return Finish(index, false);
+    const core::Time      expires = kStart + plan.arrival + plan.time_limit;
+    if (m_now >= expires) return Finish(index, false);
     core::RouteRequest request;
     request.prompt = program.history;
     request.cache_weight = m_scenario.contract.cache_weight;
     const int  chosen = m_policy.route.Choose(request, Candidates(program));
     const auto at = static_cast<std::size_t>(chosen);
-    if (!program.has_home) {
-      program.home = at;
-      program.has_home = true;
+    if (!program.has_coordinator) {
+      program.coordinator = at;
+      program.has_coordinator = true;
     }
     program.server = at;
-    const PlannedCall& call = plan.calls[program.next];
+    const PlannedCall& call = plan.calls[program.next_call];
     const auto&    service = m_scenario.contract.classes[plan.service_class];
     core::Dispatch dispatch;
     dispatch.dispatch = ++m_dispatches;
     dispatch.executor = m_servers[at]->node;
     dispatch.call.program = program.id;
-    dispatch.call.sequence = static_cast<core::Sequence>(program.next + 1);
+    dispatch.call.sequence = static_cast<core::Sequence>(program.next_call + 1);
     dispatch.call.body.assign(
         static_cast<std::size_t>(call.input * core::kBytesPerToken), 'u');
     dispatch.call.max_tokens = call.output;
-    dispatch.call.deadline = gives_up;
+    dispatch.call.deadline = expires;
     dispatch.prompt.assign(
         static_cast<std::size_t>(program.history * core::kBytesPerToken), 'h');
     dispatch.priority = service.priority;
     dispatch.max_wait = service.max_wait;
     dispatch.attained = program.attained;
     dispatch.cache_weight = m_scenario.contract.cache_weight;
-    dispatch.started = kStart + plan.arrives;
+    dispatch.started = kStart + plan.arrival;
     m_program_of[dispatch.dispatch] = index;
     program.dispatch = dispatch.dispatch;
     m_servers[at]->executor->OnDispatch({"home", 1}, dispatch, m_now);
-    Carry(at);
+    ExecuteCommands(at);
   }
 
-  void Work(std::size_t i) {
+  void AdvanceServer(std::size_t i) {
     Server& server = *m_servers[i];
     if (!server.alive) return;
     for (const auto run : server.engine->Advance(static_cast<double>(m_now))) {
@@ -193,10 +195,10 @@
       server.known_load = server.executor->LoadMs();
       server.known_resident = server.executor->ResidentTokens();
     }
-    Carry(i);
+    ExecuteCommands(i);
   }
 
-  void Carry(std::size_t at) {
+  void ExecuteCommands(std::size_t at) {
     Server& server = *m_servers[at];
     for (const auto& command : server.outbox.Take()) {
       if (const auto* run = std::get_if<core::RunCall>(&command)) {
@@ -225,27 +227,28 @@
     program.dispatch = 0;
     if (!reply.ok) {
       ++m_refusals[std::string(core::Name(reply.failure.reason))];
-      // The caller comes back when it is told to.
-      return At(
+      // The caller retries after the retry delay it received.
+      return Schedule(
           m_now + std::max<core::Duration>(100, reply.failure.retry_after),
           index);
     }
-    const PlannedCall& call = program.plan->calls[program.next];
+    const PlannedCall& call = program.plan->calls[program.next_call];
     program.history += call.input + call.output;
     program.attained += call.input + call.output;
     program.prefixes[at] = program.history;
-    ++program.next;
-    if (program.next == program.plan->calls.size()) return Finish(index, true);
-    At(m_now + call.pause, index);
+    ++program.next_call;
+    if (program.next_call == program.plan->calls.size())
+      return Finish(index, true);
+    Schedule(m_now + call.tool_time, index);
   }
 
-  void Finish(std::size_t index, bool whole) {
+  void Finish(std::size_t index, bool complete) {
     Program&             program = m_programs[index];
-    const core::Duration took = m_now - kStart - program.plan->arrives;
+    const core::Duration latency_ms = m_now - kStart - program.plan->arrival;
     program.done = true;
-    program.in_time = whole && took <= program.plan->patience;
-    program.latency = program.in_time ? took : program.plan->patience;
-    --m_open;
+    program.in_time = complete && latency_ms <= program.plan->time_limit;
+    program.latency = program.in_time ? latency_ms : program.plan->time_limit;
+    --m_unfinished;
     for (auto& server : m_servers) {
       server->executor->OnRelease(program.id);
       server->engine->Release(program.id);
@@ -271,7 +274,7 @@
       if (program.plan->service_class != static_cast<std::size_t>(first))
         continue;
       latencies.push_back(program.done ? program.latency
-                                       : program.plan->patience);
+                                       : program.plan->time_limit);
     }
     std::sort(latencies.begin(), latencies.end());
     return Quantile(latencies, 0.95);
@@ -287,13 +290,13 @@
     for (const auto& program : m_programs) {
       result.finished += program.in_time ? 1 : 0;
       latencies.push_back(program.done ? program.latency
-                                       : program.plan->patience);
+                                       : program.plan->time_limit);
       if (program.done)
-        last = std::max(last, kStart + program.plan->arrives + program.latency);
-      // What any policy must compute: the history it began with and the inputs
-      // of the calls that ran.
-      core::Tokens inputs = program.next > 0 ? program.plan->history : 0;
-      for (std::size_t i = 0; i < program.next; ++i)
+        last = std::max(last, kStart + program.plan->arrival + program.latency);
+      // Computed under any policy: the initial history and the inputs of all
+      // finished calls.
+      core::Tokens inputs = program.next_call > 0 ? program.plan->history : 0;
+      for (std::size_t i = 0; i < program.next_call; ++i)
         inputs += program.plan->calls[i].input;
       needed += inputs;
     }
@@ -317,13 +320,13 @@
   core::Time                           m_now = kStart;
   std::vector<std::unique_ptr<Server>> m_servers;
   std::vector<Program>                 m_programs;
-  std::size_t                          m_open = 0;
+  std::size_t                          m_unfinished = 0;
   std::uint64_t                        m_dispatches = 0;
-  bool                                 m_troubled = false;
+  bool                                 m_fault_injected = false;
   std::map<std::uint64_t, std::size_t> m_program_of;  // by dispatch
   std::map<std::string, int>           m_refusals;
-  using Due = std::pair<core::Time, std::size_t>;
-  std::priority_queue<Due, std::vector<Due>, std::greater<>> m_due;
+  using Event = std::pair<core::Time, std::size_t>;
+  std::priority_queue<Event, std::vector<Event>, std::greater<>> m_events;
 };
 
 }  // namespace
--- a/bench/policy_run.h
+++ b/bench/policy_run.h
@@ -1,5 +1,5 @@
-// One scenario under one policy: the real executors and strategies of the core
-// over models of engines.
+// Simulates one scenario under one policy, with the core's real executors and
+// queue and route policies on simulated engines.
 #pragma once
 
 #include <map>
@@ -15,28 +15,28 @@
   std::string              name;
   const core::QueuePolicy& queue;
   const core::RoutePolicy& route;
-  bool                     limits = false;  // programs by the engine's memory
+  bool limit_prefixes = false;  // limits prefixes to the engine's cache
 };
 
-enum class Trouble : std::uint8_t { kNone, kEngineLost, kEngineSlow };
+enum class Fault : std::uint8_t { kNone, kEngineCrash, kEngineSlowdown };
 
 struct RunSettings {
-  Trouble        trouble = Trouble::kNone;
-  core::Duration load_lag = 500;     // ms between looks at another's load
-  core::Duration limit = 2'700'000;  // ms of model time
+  Fault          fault = Fault::kNone;
+  core::Duration load_lag = 500;            // ms between load reports
+  core::Duration max_duration = 2'700'000;  // simulated ms
 };
 
 struct RunResult {
   std::string  policy;
   std::size_t  programs = 0;
-  std::size_t  finished = 0;            // whole, within patience
-  double       p50 = 0;                 // program latency, s, of all that
-  double       p95 = 0;                 // finished; unfinished count as
-  double       p99 = 0;                 // their patience
+  std::size_t  finished = 0;            // complete, within their time limit
+  double       p50 = 0;                 // program latency, s; programs
+  double       p95 = 0;                 // that did not finish in time
+  double       p99 = 0;                 // count with their time limit
   core::Tokens computed = 0;            // prompt tokens
-  core::Tokens wasted = 0;              // computed more than once
-  double       goodput = 0;             // finished a minute
-  double       first_class_p95 = 0;     // s, of the class of best priority
+  core::Tokens wasted = 0;              // prompt tokens computed again
+  double       goodput = 0;             // programs finished per minute
+  double       first_class_p95 = 0;     // s, class of highest priority
   std::map<std::string, int> refusals;  // by reason
 };
 
--- a/bench/svg.cc
+++ b/bench/svg.cc
@@ -10,8 +10,8 @@
 
 constexpr double                     kWidth = 720;
 constexpr double                     kHeight = 300;
-constexpr double                     kTop = 60;     // room for title and legend
-constexpr double                     kBottom = 40;  // room for labels
+constexpr double                     kTop = 60;     // title and legend
+constexpr double                     kBottom = 40;  // group labels
 constexpr double                     kGap = 24;     // between groups
 constexpr double                     kLegendStep = 170;
 constexpr std::array<const char*, 5> kColours{"#9aa5b1", "#5f7d95", "#c9a66b",
@@ -33,7 +33,7 @@
   return out.str();
 }
 
-std::string Short(double value) {
+std::string FormatValue(double value) {
   constexpr double   kLarge = 100;
   std::ostringstream out;
   out << std::fixed << std::setprecision(value < kLarge ? 1 : 0) << value;
@@ -45,9 +45,10 @@
 std::string BarChart(const std::string&              title,
                      const std::vector<std::string>& series,
                      const std::vector<BarGroup>&    groups) {
-  double most = 1e-9;
+  double max_value = 1e-9;
   for (const auto& group : groups) {
-    for (const double value : group.values) most = std::max(most, value);
+    for (const double value : group.values)
+      max_value = std::max(max_value, value);
   }
   std::ostringstream out;
   out << std::fixed << std::setprecision(1)
@@ -64,15 +65,15 @@
       (kWidth - kGap) / static_cast<double>(groups.size());
   const double bar_width =
       (group_width - kGap) / static_cast<double>(series.size());
-  const double room = kHeight - kTop - kBottom - 12;
+  const double plot_height = kHeight - kTop - kBottom - 12;
   for (std::size_t g = 0; g < groups.size(); ++g) {
     const double left = kGap + group_width * static_cast<double>(g);
     for (std::size_t i = 0; i < groups[g].values.size(); ++i) {
-      const double height = room * groups[g].values[i] / most;
+      const double height = plot_height * groups[g].values[i] / max_value;
       const double x = left + bar_width * static_cast<double>(i);
       const double y = kHeight - kBottom - height;
       out << Bar(x, y, bar_width - 2, height, kColours[i])
-          << Text(x + bar_width / 2, y - 3, Short(groups[g].values[i]),
+          << Text(x + bar_width / 2, y - 3, FormatValue(groups[g].values[i]),
                   "middle", 9);
     }
     out << Text(left + (group_width - kGap) / 2, kHeight - 20, groups[g].label,
--- a/bench/svg.h
+++ b/bench/svg.h
@@ -1,4 +1,4 @@
-// Bar charts as SVG, enough for a page.
+// Grouped bar charts as SVG text.
 #pragma once
 
 #include <string>
@@ -7,11 +7,11 @@
 namespace yuccawick::bench {
 
 struct BarGroup {
-  std::string         label;   // under the group
+  std::string         label;   // shown below the group
   std::vector<double> values;  // one for each series
 };
 
-// A chart with one colour for each series.
+// Each group has one bar per series; each series has its own colour.
 std::string BarChart(const std::string&              title,
                      const std::vector<std::string>& series,
                      const std::vector<BarGroup>&    groups);
--- a/bench/workload.h
+++ b/bench/workload.h
@@ -1,7 +1,5 @@
-// The two customers' programs, drawn from a seed.
-//
-// Everyone arrives within one minute. Sizes are those of the brief's
-// deployments; lengths are round numbers for the programs it describes.
+// Generates the programs of two example customers from a seed. All programs
+// arrive within one minute.
 #pragma once
 
 #include <cstdint>
@@ -14,17 +12,17 @@
 namespace yuccawick::bench {
 
 struct PlannedCall {
-  core::Tokens   input = 0;   // new tokens of the call
-  core::Tokens   output = 0;  // tokens generated
-  core::Duration pause = 0;   // ms of tool work before the next call
+  core::Tokens   input = 0;      // new prompt tokens
+  core::Tokens   output = 0;     // tokens generated
+  core::Duration tool_time = 0;  // ms until the next call
 };
 
 struct PlannedProgram {
-  core::Time               arrives = 0;
-  std::size_t              service_class = 0;  // index in the contract
-  core::Tokens             history = 0;        // tokens it begins with
+  core::Time               arrival = 0;
+  std::size_t              service_class = 0;  // index into contract.classes
+  core::Tokens             history = 0;        // initial tokens
   std::vector<PlannedCall> calls;
-  core::Duration           patience = 0;  // ms until the result is of no use
+  core::Duration           time_limit = 0;  // ms from arrival
 };
 
 struct Scenario {
@@ -34,7 +32,7 @@
   std::vector<PlannedProgram> programs;
 };
 
-// Load 1 is about what the servers can do in the minute and the patience.
+// Load 1 is about what the servers can complete within the time limits.
 Scenario MakeSakhli(std::uint64_t seed, double load);
 Scenario MakeMandacaru(std::uint64_t seed, double load);
 
