--- a/demo/caller.cc
+++ b/demo/caller.cc
@@ -9,12 +9,13 @@
 namespace demo {
 namespace {
 
-constexpr int kMostTries = 60;
+constexpr int kMaxAttempts = 60;
 constexpr int kOk = 200;
 constexpr int kCreated = 201;
 
+// Retry delay in ms; 0 if the request must not be retried.
 int RetryAfter(const Answer& answer) {
-  if (answer.status == 0) return 100;  // the entry itself has gone
+  if (answer.status == 0) return 100;  // the entry is unreachable
   if (answer.json.isNull() || !answer.json->isObject("error")) return 0;
   return answer.json->getObject("error")->optValue<int>("retry_after_ms", 0);
 }
@@ -47,16 +48,15 @@
   return headers;
 }
 
-Answer Caller::Persist(const std::string& path, const std::string& body) {
+Answer Caller::PostWithRetries(const std::string& path,
+                               const std::string& body) {
   Answer answer;
-  for (int i = 0; i < kMostTries; ++i) {
+  for (int i = 0; i < kMaxAttempts; ++i) {
     ++m_tries;
     answer = m_group.Post(NextEntry(), path, CallHeaders(), body);
     if (answer.status == kOk || answer.status == kCreated) return answer;
     const int wait = RetryAfter(answer);
     if (wait == 0) return answer;
-    // The system says when to come back; a caller that keeps to it is what the
-    // demonstration shows.
     std::this_thread::sleep_for(std::chrono::milliseconds(wait));
   }
   return answer;
@@ -67,7 +67,7 @@
   std::string body = R"({"model": )" + Quote(model);
   if (!parent.empty()) body += R"(, "parent": )" + Quote(parent);
   if (!service_class.empty()) body += R"(, "class": )" + Quote(service_class);
-  const Answer answer = Persist("/v1/programs", body + "}");
+  const Answer answer = PostWithRetries("/v1/programs", body + "}");
   m_program = answer.Text("program");
   return answer.status == kCreated;
 }
@@ -75,18 +75,19 @@
 Answer Caller::Model(const std::string& model, const std::string& content,
                      bool stream) {
   ++m_sequence;
-  return Persist("/v1/chat/completions",
-                 R"({"model": )" + Quote(model) +
-                     R"(, "messages": [{"role": "user", "content": )" +
-                     Quote(content) + R"(}], "max_tokens": 64, "stream": )" +
-                     (stream ? "true" : "false") + "}");
+  return PostWithRetries("/v1/chat/completions",
+                         R"({"model": )" + Quote(model) +
+                             R"(, "messages": [{"role": "user", "content": )" +
+                             Quote(content) +
+                             R"(}], "max_tokens": 64, "stream": )" +
+                             (stream ? "true" : "false") + "}");
 }
 
 Answer Caller::Service(const std::string& service,
                        const std::string& arguments) {
   ++m_sequence;
-  return Persist("/v1/services/" + service + "/calls",
-                 R"({"arguments": )" + Quote(arguments) + "}");
+  return PostWithRetries("/v1/services/" + service + "/calls",
+                         R"({"arguments": )" + Quote(arguments) + "}");
 }
 
 Answer Caller::History() {
--- a/demo/caller.h
+++ b/demo/caller.h
@@ -1,5 +1,5 @@
-// A caller of the system, as an agent program's runtime would be: it numbers
-// its calls, and asks again when told when to come back.
+// Client of an entry, as the runtime of an agent program has it: numbers its
+// calls and retries a refused request after the retry delay of the response.
 #pragma once
 
 #include <string>
@@ -14,11 +14,12 @@
   Caller(ProcessGroup& group, std::vector<std::string> entries,
          std::string customer, std::string workspace);
 
-  // Starts a program; a sub-agent of `parent` if that is not empty.
+  // Starts a program, as a sub-agent of `parent` unless that is empty. False if
+  // it was refused.
   bool   Start(const std::string& model, const std::string& parent = "",
                const std::string& service_class = "");
-  // Each call goes through another entry than the one before. Asks again with
-  // the same sequence as often as it is told to, at most `kMostTries` times.
+  // Successive requests use the entries in turn. A call that may be retried is
+  // sent again with the same sequence number, at most `kMaxAttempts` times.
   Answer Model(const std::string& model, const std::string& content,
                bool stream = false);
   Answer Service(const std::string& service, const std::string& arguments);
@@ -32,7 +33,7 @@
  private:
   Headers     CallHeaders() const;
   std::string NextEntry();
-  Answer      Persist(const std::string& path, const std::string& body);
+  Answer      PostWithRetries(const std::string& path, const std::string& body);
 
   ProcessGroup&            m_group;
   std::vector<std::string> m_entries;
@@ -40,11 +41,11 @@
   std::string              m_customer;
   std::string              m_workspace;
   std::string              m_program;
-  int                      m_sequence = 0;  // of the last call
-  int                      m_tries = 0;     // requests sent in all
+  int                      m_sequence = 0;  // sequence number of the last call
+  int                      m_tries = 0;     // requests sent in total
 };
 
-// A text as a JSON string, quotes included.
+// Returns `text` as a JSON string literal, with quotes.
 std::string Quote(const std::string& text);
 
 }  // namespace demo
--- a/demo/process_group.cc
+++ b/demo/process_group.cc
@@ -20,44 +20,42 @@
 constexpr int kRpcPort = 7000;
 constexpr int kHttpPort = 7001;
 constexpr int kBackendPort = 7002;
-constexpr int kLogNumber = 250;  // last part of the platform's addresses
-constexpr int kVmsNumber = 251;
-constexpr int kByte = 256;
-constexpr int kCannotRun = 127;
-constexpr int kHttpSeconds = 120;
+constexpr int kLogHostNumber = 250;  // last byte of the address
+constexpr int kVmListHostNumber = 251;
+constexpr int kByteValues = 256;
+constexpr int kExecFailed = 127;   // exit code
+constexpr int kHttpTimeout = 120;  // seconds
 
-std::string At(const std::string& host, int port) {
+std::string HostPort(const std::string& host, int port) {
   return host + ":" + std::to_string(port);
 }
 
 }  // namespace
 
-// ---- Process
-
 Process::Process(const std::string&              program,
                  const std::vector<std::string>& arguments) {
-  int ends[2];
-  if (pipe2(ends, O_CLOEXEC) != 0) return;
-  std::vector<std::string> words{program};
-  words.insert(words.end(), arguments.begin(), arguments.end());
+  int pipe_ends[2];
+  if (pipe2(pipe_ends, O_CLOEXEC) != 0) return;
+  std::vector<std::string> command_line{program};
+  command_line.insert(command_line.end(), arguments.begin(), arguments.end());
   std::vector<char*> argv;
-  argv.reserve(words.size() + 1);
-  for (auto& word : words) argv.push_back(word.data());
+  argv.reserve(command_line.size() + 1);
+  for (auto& word : command_line) argv.push_back(word.data());
   argv.push_back(nullptr);
   const pid_t parent = getpid();
   m_pid = fork();
   if (m_pid == 0) {
-    // A failed check may end the parent without running any destructor; its
-    // children go with it.
+    // Without this, children outlive a parent that is killed by a failed check
+    // and never runs the destructor.
     prctl(PR_SET_PDEATHSIG, SIGKILL);
-    if (getppid() != parent) _exit(kCannotRun);
-    dup2(ends[1], STDOUT_FILENO);
-    dup2(ends[1], STDERR_FILENO);
+    if (getppid() != parent) _exit(kExecFailed);
+    dup2(pipe_ends[1], STDOUT_FILENO);
+    dup2(pipe_ends[1], STDERR_FILENO);
     execv(program.c_str(), argv.data());
-    _exit(kCannotRun);
+    _exit(kExecFailed);
   }
-  close(ends[1]);
-  m_output = ends[0];
+  close(pipe_ends[1]);
+  m_output = pipe_ends[0];
   m_reader = std::thread([this] { ReadLines(); });
 }
 
@@ -74,10 +72,10 @@
 void Process::ReadLines() {
   std::string line;
   char        buffer[4096];
-  ssize_t     got = 0;
-  while ((got = read(m_output, buffer, sizeof(buffer))) > 0) {
+  ssize_t     count = 0;
+  while ((count = read(m_output, buffer, sizeof(buffer))) > 0) {
     const std::lock_guard lock(m_mutex);
-    for (ssize_t i = 0; i < got; ++i) {
+    for (ssize_t i = 0; i < count; ++i) {
       if (buffer[i] != '\n') {
         line += buffer[i];
         continue;
@@ -95,13 +93,13 @@
 bool Process::WaitForLine(const std::string& text, int limit_ms) {
   std::size_t seen = 0;
   bool        found = false;
-  const auto  look = [&] {
+  const auto  scan_lines = [&] {
     for (; seen < m_lines.size(); ++seen)
       found = found || m_lines[seen].find(text) != std::string::npos;
     return found || m_ended;
   };
   std::unique_lock lock(m_mutex);
-  m_changed.wait_for(lock, std::chrono::milliseconds(limit_ms), look);
+  m_changed.wait_for(lock, std::chrono::milliseconds(limit_ms), scan_lines);
   return found;
 }
 
@@ -124,8 +122,6 @@
   return m_exit;
 }
 
-// ---- Answer
-
 std::string Answer::Text(const std::string& key) const {
   if (json.isNull() || !json->has(key)) return "";
   return json->getValue<std::string>(key);
@@ -141,22 +137,21 @@
   return json->getObject("error")->optValue<std::string>("ran", "");
 }
 
-// ---- ProcessGroup
-
 ProcessGroup::ProcessGroup(std::string programs)
     : m_programs(std::move(programs)) {
   const int pid = getpid();
-  m_prefix = "127." + std::to_string(1 + pid / kByte % (kByte - 2)) + "." +
-             std::to_string(pid % kByte) + ".";
+  m_prefix = "127." +
+             std::to_string(1 + pid / kByteValues % (kByteValues - 2)) + "." +
+             std::to_string(pid % kByteValues) + ".";
 }
 
 void ProcessGroup::StartPlatform() {
-  const std::string log_host = m_prefix + std::to_string(kLogNumber);
+  const std::string log_host = m_prefix + std::to_string(kLogHostNumber);
   m_log = std::make_unique<Process>(
       m_programs + "/yw-standin",
       std::vector<std::string>{"--kind=log", "--host=" + log_host});
   m_log_address = m_log->Line(0);
-  const std::string vms_host = m_prefix + std::to_string(kVmsNumber);
+  const std::string vms_host = m_prefix + std::to_string(kVmListHostNumber);
   m_vms = std::make_unique<Process>(
       m_programs + "/yw-standin",
       std::vector<std::string>{"--kind=vms", "--lag_ms=1000",
@@ -169,11 +164,11 @@
 }
 
 std::string ProcessGroup::HttpOf(const std::string& vm) const {
-  return At(AddressOf(vm), kHttpPort);
+  return HostPort(AddressOf(vm), kHttpPort);
 }
 
 std::string ProcessGroup::BackendOf(const std::string& vm) const {
-  return At(AddressOf(vm), kBackendPort);
+  return HostPort(AddressOf(vm), kBackendPort);
 }
 
 void ProcessGroup::AddAgent(const AgentSpec& spec) {
@@ -206,7 +201,7 @@
 
 void ProcessGroup::Launch(const std::string& vm) {
   const NodeSpec&          node = m_specs.at(vm);
-  const std::string        rpc = At(AddressOf(vm), kRpcPort);
+  const std::string        rpc = HostPort(AddressOf(vm), kRpcPort);
   std::vector<std::string> arguments{"--vm=" + vm,
                                      "--zone=" + node.spec.zone,
                                      "--listen=" + rpc,
@@ -241,9 +236,9 @@
 
 int ProcessGroup::Operate(const std::vector<std::string>& arguments,
                           std::string*                    output) {
-  std::vector<std::string> words{"--log_service=" + m_log_address};
-  words.insert(words.end(), arguments.begin(), arguments.end());
-  Process   command(m_programs + "/yw", words);
+  std::vector<std::string> command_line{"--log_service=" + m_log_address};
+  command_line.insert(command_line.end(), arguments.begin(), arguments.end());
+  Process   command(m_programs + "/yw", command_line);
   const int code = command.Wait();
   output->clear();
   for (std::size_t i = 0;; ++i) {
@@ -262,7 +257,7 @@
     Poco::Net::HTTPClientSession session(
         address.substr(0, colon),
         static_cast<Poco::UInt16>(std::stoi(address.substr(colon + 1))));
-    session.setTimeout(Poco::Timespan(kHttpSeconds, 0));
+    session.setTimeout(Poco::Timespan(kHttpTimeout, 0));
     Poco::Net::HTTPRequest request(method, path,
                                    Poco::Net::HTTPMessage::HTTP_1_1);
     std::string            body;
@@ -282,7 +277,7 @@
     Poco::JSON::Parser parser;
     answer.json = parser.parse(answer.body).extract<Poco::JSON::Object::Ptr>();
   } catch (const Poco::Exception&) {
-    // No answer, or one that is not an object: `status` tells which.
+    // No answer, if `status` is 0, or a body that is not a JSON object.
   }
   return answer;
 }
--- a/demo/process_group.h
+++ b/demo/process_group.h
@@ -1,9 +1,9 @@
-// The whole system as processes on loopback: stand-ins, agents, entries.
+// Runs the whole system as processes on loopback: stand-ins, agents, entries.
 //
-// For the demonstration and for proofs against the real daemons. Each node has
-// an address of its own in 127.0.0.0/8, made from the starter's process id, so
-// that groups never meet. Nothing waits by time: the group waits for lines that
-// the processes write.
+// For the demonstration and for tests of the real daemons. Each node has its
+// own address in 127.0.0.0/8, derived from the process id of the parent, so
+// that groups of different processes do not conflict. Progress is detected by
+// the lines that the processes log, not by fixed waits.
 #pragma once
 
 #include <Poco/JSON/Object.h>
@@ -19,23 +19,23 @@
 
 namespace demo {
 
-// A child process whose output is read line by line.
+// Child process whose output (stdout and stderr) is read line by line.
 class Process {
  public:
   Process(const std::string&              program,
           const std::vector<std::string>& arguments);
-  // Ends the child if it still runs.
+  // Kills the child if it is still running.
   ~Process();
   Process(const Process&) = delete;
   Process& operator=(const Process&) = delete;
 
-  // True once a line containing `text` has been written; false if the process
-  // ends or `limit_ms` passes first.
+  // Waits for a line that contains `text`. False if the process ends or
+  // `limit_ms` passes first.
   bool        WaitForLine(const std::string& text, int limit_ms = 30000);
-  // The n-th line written (0 is the first), empty if there was none.
+  // Waits for line `n`, counted from 0. Empty if the process ends first.
   std::string Line(std::size_t n);
   void        Signal(int number);
-  // Waits for the end; the exit code, or -1 if a signal ended it.
+  // Waits for the end. Returns the exit code, or -1 if a signal ended it.
   int         Wait();
   pid_t       pid() const { return m_pid; }
 
@@ -54,11 +54,11 @@
 };
 
 struct Answer {
-  int                     status = 0;  // 0: no answer
+  int                     status = 0;  // HTTP status; 0: no answer
   std::string             body;
-  Poco::JSON::Object::Ptr json;  // null if the body is not an object
+  Poco::JSON::Object::Ptr json;  // null if the body is not a JSON object
 
-  // The error's reason and whether the call ran; empty if there is none.
+  // Fields `reason` and `ran` of the error; empty if there is no error.
   std::string Reason() const;
   std::string Ran() const;
   std::string Text(const std::string& key) const;
@@ -80,16 +80,16 @@
   explicit ProcessGroup(std::string programs);
 
   void StartPlatform();
-  // Each starts the backend server beside it first, unless it runs already.
+  // Starts a backend server on the VM and then the agent.
   void AddAgent(const AgentSpec& spec);
   void AddEntry(const std::string& vm, const std::string& zone);
-  // Starts a node again as a new incarnation.
+  // Restarts a node as a new incarnation.
   void Restart(const std::string& vm);
   bool WaitUntilReady(const std::string& vm);
-  // The node has read a contract of that customer.
+  // Waits until the node has read a contract of the customer.
   bool WaitForContract(const std::string& vm, const std::string& customer);
 
-  // Runs the operator's command; its exit code. Output goes to `*output`.
+  // Runs the `yw` command and stores its output. Returns its exit code.
   int Operate(const std::vector<std::string>& arguments, std::string* output);
 
   Process&    node(const std::string& vm) { return *m_nodes.at(vm); }
@@ -100,12 +100,12 @@
   std::string log_address() const { return m_log_address; }
   std::string vms_address() const { return m_vms_address; }
 
-  // Callers' requests.
+  // HTTP requests to `address` (host:port).
   Answer Post(const std::string& address, const std::string& path,
               const Headers& headers, const std::string& body);
   Answer Get(const std::string& address, const std::string& path,
              const Headers& headers = {}, const std::string& method = "GET");
-  // Effects counted by the stand-in beside that VM.
+  // Calls executed by the backend server of the VM.
   Answer Effects(const std::string& vm);
   Answer ControlLog(const std::string& body);
 
