--- a/bench/model_server.cc
+++ b/bench/model_server.cc
@@ -90,17 +90,17 @@
 }
 
 void ModelServer::Step(double* now, std::vector<Finished>* finished) {
-  std::int64_t max_prefill_chunk = m_parameters.max_prefill_chunk;
+  std::int64_t prefill_budget = m_parameters.max_prefill_chunk;
   const auto   others = static_cast<double>(m_runs.size() - 1);
   std::int64_t generating = 0;
   for (Run& run : m_runs) {
-    const std::int64_t count = std::min(max_prefill_chunk, run.prefill_left);
+    const std::int64_t count = std::min(prefill_budget, run.prefill_left);
     run.prefill_left -= count;
-    max_prefill_chunk -= count;
+    prefill_budget -= count;
     if (run.prefill_left == 0) ++generating;
   }
   const std::int64_t prefilled =
-      m_parameters.max_prefill_chunk - max_prefill_chunk;
+      m_parameters.max_prefill_chunk - prefill_budget;
   m_prefilled += prefilled;
   *now +=
       (m_parameters.step_ms + m_parameters.step_ms_per_extra_run * others +
--- a/bench/policy_bench.cc
+++ b/bench/policy_bench.cc
@@ -17,7 +17,7 @@
 
 DEFINE_uint64(seed, 1, "seed of the generated programs");
 DEFINE_string(json, "", "file to which the results are written, as JSON");
-DEFINE_string(plots, "", "folder to which the plots are written, as SVG");
+DEFINE_string(plots, "", "directory to which the plots are written, as SVG");
 
 namespace yuccawick::bench {
 namespace {
