--- a/src/yuccawick/backends/backend_client.cc
+++ b/src/yuccawick/backends/backend_client.cc
@@ -20,26 +20,27 @@
                         kMicrosPerMilli);
 }
 
-Poco::JSON::Object CompletionBody(const core::RunCall& order) {
+Poco::JSON::Object CompletionBody(const core::RunCall& command) {
   Poco::JSON::Object::Ptr message = new Poco::JSON::Object;
   message->set("role", "user");
-  message->set("content", core::FullPrompt(order.prompt, order.call));
+  message->set("content", core::FullPrompt(command.prompt, command.call));
   Poco::JSON::Array::Ptr messages = new Poco::JSON::Array;
   messages->add(message);
   Poco::JSON::Object body;
-  body.set("model", order.call.target);
+  body.set("model", command.call.target);
   body.set("messages", messages);
-  body.set("max_tokens", order.call.max_tokens);
+  body.set("max_tokens", command.call.max_tokens);
   body.set("stream", true);
-  body.set("priority", order.priority);
-  body.set("cache_key", core::ToString(order.call.program));
-  body.set("fence", order.fence);
+  body.set("priority", command.priority);
+  body.set("cache_key", core::ToString(command.call.program));
+  body.set("fence", command.fence);
   return body;
 }
 
-// Takes one server-sent event of the engine in; true once it was the last.
-bool TakeEvent(const std::string& data, core::RunDone* done,
-               const ChunkSink& on_chunk) {
+// Applies one server-sent event of the engine to `done`; returns true for the
+// last event.
+bool ApplyEvent(const std::string& data, core::RunDone* done,
+                const ChunkSink& on_chunk) {
   if (data == kDone) return true;
   Poco::JSON::Parser parser;
   const auto event = parser.parse(data).extract<Poco::JSON::Object::Ptr>();
@@ -86,11 +87,11 @@
   return {Reason::kBackendUnreachable, Ran::kUnknown, retry};
 }
 
-core::RunDone EngineClient::Run(const core::RunCall&     order,
+core::RunDone EngineClient::Run(const core::RunCall&     command,
                                 const std::atomic<bool>& cancelled,
                                 const ChunkSink&         on_chunk) const {
   core::RunDone done;
-  done.run = order.run;
+  done.run = command.run;
   const auto fail = [&](core::Failure failure) {
     done.failure = failure;
     return done;
@@ -101,7 +102,7 @@
     session.setTimeout(Millis(m_settings.connect_timeout_ms),
                        Millis(m_settings.answer_timeout_ms),
                        Millis(m_settings.answer_timeout_ms));
-    const auto             body = ToText(CompletionBody(order));
+    const auto             body = ToText(CompletionBody(command));
     Poco::Net::HTTPRequest request(Poco::Net::HTTPRequest::HTTP_POST,
                                    "/v1/chat/completions",
                                    Poco::Net::HTTPMessage::HTTP_1_1);
@@ -118,45 +119,45 @@
     for (std::string line; std::getline(in, line);) {
       if (cancelled) return fail(Cancelled());
       if (!line.starts_with(kDataPrefix)) continue;
-      if (TakeEvent(line.substr(kDataPrefix.size()), &done, on_chunk)) {
+      if (ApplyEvent(line.substr(kDataPrefix.size()), &done, on_chunk)) {
         done.ok = true;
         return done;
       }
     }
-    // The stream ended before its last event: part of an answer is no answer.
+    // The stream ended before its last event; a partial response is a failure.
     return fail(FailureOf(HttpError::kNoAnswer));
   } catch (const Poco::Exception&) {
     return fail(FailureOf(sent ? HttpError::kNoAnswer : HttpError::kNotSent));
   }
 }
 
-void EngineClient::Release(const core::ReleasePrefix& order) const {
+void EngineClient::Release(const core::ReleasePrefix& command) const {
   Poco::JSON::Object body;
-  body.set("fence", order.fence);
-  if (order.program.IsSet()) {
-    body.set("cache_key", core::ToString(order.program));
+  body.set("fence", command.fence);
+  if (command.program.IsSet()) {
+    body.set("cache_key", core::ToString(command.program));
   } else {
     body.set("all", true);
   }
-  // Lost orders are made good by the engine's own limit and by the next
-  // incarnation's "release all".
+  // A lost release needs no retry: the engine's cache is bounded, and the next
+  // incarnation of the agent releases everything.
   (void)PostJson(m_endpoint, "/v1/cache/release", body, m_settings);
 }
 
-core::RunDone ServiceClient::Run(const core::RunCall&     order,
+core::RunDone ServiceClient::Run(const core::RunCall&     command,
                                  const std::atomic<bool>& cancelled,
                                  const ChunkSink& /*on_chunk*/) const {
   core::RunDone done;
-  done.run = order.run;
+  done.run = command.run;
   if (cancelled) {
     done.failure = core::Refuse(core::Reason::kCancelled);
     return done;
   }
   Poco::JSON::Object body;
-  body.set("program", core::ToString(order.call.program));
-  body.set("sequence", order.call.sequence);
-  body.set("arguments", order.call.body);
-  body.set("fence", order.fence);
+  body.set("program", core::ToString(command.call.program));
+  body.set("sequence", command.call.sequence);
+  body.set("arguments", command.call.body);
+  body.set("fence", command.fence);
   const auto answer = PostJson(m_endpoint, "/v1/calls", body, m_settings);
   if (!answer) {
     done.failure = FailureOf(answer.error());
--- a/src/yuccawick/backends/backend_client.h
+++ b/src/yuccawick/backends/backend_client.h
@@ -1,18 +1,18 @@
-// Clients of backend servers, over HTTP.
+// HTTP clients of backend servers, used by the agent to run calls.
 //
-// Model engines speak the chat-completions interface with streamed answers,
-// and a few orders beside it:
+// Model engines provide the chat completions API with streamed responses, and
+// one more request:
 //
 //   POST /v1/chat/completions  {"model", "messages", "max_tokens", "stream",
 //                               "priority", "cache_key", "fence"}
 //   POST /v1/cache/release     {"cache_key" | "all", "fence"}
 //
-// Application servers take one call and answer it:
+// Application servers execute one call per request:
 //
 //   POST /v1/calls  {"program", "sequence", "arguments", "fence"}
 //                   -> {"result": "..."}
 //
-// Closing the connection cancels a model call.
+// A model call is cancelled by closing its connection.
 #pragma once
 
 #include <atomic>
@@ -25,15 +25,16 @@
 
 using ChunkSink = std::function<void(const std::string& text)>;
 
-// One strategy per kind of backend server.
+// Interface of a backend server; one implementation per kind of server.
 class BackendClient {
  public:
   virtual ~BackendClient() = default;
-  // Blocks until the call has ended. `cancelled` may be set by another thread.
-  virtual core::RunDone Run(const core::RunCall&     order,
+  // Runs a call and blocks until it ends; `on_chunk` is called on the same
+  // thread. `cancelled` may be set by another thread.
+  virtual core::RunDone Run(const core::RunCall&     command,
                             const std::atomic<bool>& cancelled,
                             const ChunkSink&         on_chunk) const = 0;
-  virtual void          Release(const core::ReleasePrefix& order) const = 0;
+  virtual void          Release(const core::ReleasePrefix& command) const = 0;
 };
 
 class EngineClient : public BackendClient {
@@ -41,10 +42,10 @@
   EngineClient(Endpoint endpoint, HttpSettings settings)
       : m_endpoint(std::move(endpoint)), m_settings(settings) {}
 
-  core::RunDone Run(const core::RunCall&     order,
+  core::RunDone Run(const core::RunCall&     command,
                     const std::atomic<bool>& cancelled,
                     const ChunkSink&         on_chunk) const override;
-  void          Release(const core::ReleasePrefix& order) const override;
+  void          Release(const core::ReleasePrefix& command) const override;
 
  private:
   Endpoint     m_endpoint;
@@ -56,17 +57,17 @@
   ServiceClient(Endpoint endpoint, HttpSettings settings)
       : m_endpoint(std::move(endpoint)), m_settings(settings) {}
 
-  core::RunDone Run(const core::RunCall&     order,
+  core::RunDone Run(const core::RunCall&     command,
                     const std::atomic<bool>& cancelled,
                     const ChunkSink&         on_chunk) const override;
-  void          Release(const core::ReleasePrefix& order) const override;
+  void          Release(const core::ReleasePrefix& command) const override;
 
  private:
   Endpoint     m_endpoint;
   HttpSettings m_settings;
 };
 
-// What a failed exchange says about the call.
+// Maps a failed exchange to a call failure, including whether the call ran.
 core::Failure FailureOf(HttpError error);
 
 }  // namespace yuccawick::backends
--- a/src/yuccawick/backends/http.h
+++ b/src/yuccawick/backends/http.h
@@ -1,7 +1,7 @@
-// One HTTP exchange with a JSON body, with a typed result.
+// Blocking HTTP exchanges with JSON bodies and typed errors.
 //
-// The difference that matters everywhere is kept: a request that was never sent
-// did not run, one that was sent and not answered may have run.
+// The errors tell whether the request may have been executed: one that was not
+// sent did not run, one that was sent but not answered may have run.
 #pragma once
 
 #include <Poco/JSON/Object.h>
@@ -24,11 +24,11 @@
 tl::expected<Endpoint, EndpointError> ParseEndpoint(const std::string& text);
 
 enum class HttpError : std::uint8_t {
-  kNotSent,    // no connection: certainly not done
-  kNoAnswer,   // sent, but no whole answer came: may have been done
-  kRefused,    // the server says it did not do it (4xx, 503)
-  kFailed,     // the server did something and failed (other 5xx)
-  kBadAnswer,  // an answer that is not the protocol's
+  kNotSent,    // no connection; not executed
+  kNoAnswer,   // sent without a complete response; may have been executed
+  kRefused,    // rejected by the server (4xx, 503); not executed
+  kFailed,     // failed during execution (other 5xx)
+  kBadAnswer,  // malformed response; may have been executed
 };
 
 struct HttpSettings {
@@ -46,7 +46,7 @@
 
 std::string ToText(const Poco::JSON::Object& object);
 
-// Reads the error of a status code; only for codes from 400 on.
+// Maps an HTTP status of 400 or above to an error.
 HttpError ErrorOf(int status);
 
 }  // namespace yuccawick::backends
--- a/src/yuccawick/backends/log_client.cc
+++ b/src/yuccawick/backends/log_client.cc
@@ -26,7 +26,7 @@
     const auto item = records->getObject(static_cast<unsigned>(i));
     const auto record =
         rpc::RecordFromJson(item->getValue<std::string>("data"));
-    // Records of others on our streams are passed over, but keep their offset.
+    // Unknown records of other writers are skipped; they still occupy offsets.
     if (!record) continue;
     done->records.push_back({item->getValue<core::Offset>("offset"), *record});
   }
--- a/src/yuccawick/backends/log_client.h
+++ b/src/yuccawick/backends/log_client.h
@@ -1,12 +1,12 @@
-// Client of the platform's append-only log, over HTTP.
+// HTTP client of the platform's append-only log.
 //
 //   POST /streams/S/records  {"records": ["...", ...]}  -> {"last": N}
 //   GET  /streams/S/records?from=N
 //        -> {"earliest": N, "end": N, "records": [{"offset": N, "data":
 //        "..."}]}
 //
-// 503 means that nothing was appended. A missing answer means that nobody
-// knows.
+// A 503 means that nothing was appended. Without a response the outcome is
+// unknown.
 #pragma once
 
 #include "yuccawick/backends/http.h"
@@ -27,7 +27,7 @@
   HttpSettings m_settings;
 };
 
-// The platform's list of VMs: GET /vms
+// HTTP client of the platform's list of VMs: GET /vms
 //   -> {"vms": [{"vm": "...", "address": "host:port", "leaving": false}]}
 class VmListClient {
  public:
--- a/standins/application.cc
+++ b/standins/application.cc
@@ -5,7 +5,7 @@
 
 constexpr int kOk = 200;
 constexpr int kNotFound = 404;
-constexpr int kHangMs = 20;
+constexpr int kHangPollMs = 20;
 
 }  // namespace
 
@@ -44,13 +44,13 @@
     slow = m_slow_ms;
     lose = m_lose_replies;
   }
-  Linger(slow);
+  SleepFor(slow);
   while (true) {
     {
       const std::lock_guard lock(m_mutex);
       if (!m_hang) break;
     }
-    Linger(kHangMs);
+    SleepFor(kHangPollMs);
   }
   if (lose) throw LostReply();
   Poco::JSON::Object json;
--- a/standins/application.h
+++ b/standins/application.h
@@ -1,5 +1,5 @@
-// Stand-in of an application server or a tool: performs calls that may not be
-// repeated, and counts each. It does not check who gives the order.
+// Stand-in for an application server or a tool: executes unrepeatable calls and
+// counts how often each one ran. It ignores fencing numbers.
 //
 //   POST /v1/calls {"program", "sequence", "arguments", "fence"}
 //   GET  /effects  {"calls": {"program/sequence": count}}
--- a/standins/engine.cc
+++ b/standins/engine.cc
@@ -12,7 +12,7 @@
 constexpr int          kNotFound = 404;
 constexpr int          kConflict = 409;
 constexpr std::int64_t kBytesPerToken = 4;
-constexpr int          kHoldCheckMs = 5;
+constexpr int          kHoldPollMs = 5;
 
 std::int64_t Tokens(std::size_t bytes) {
   return (static_cast<std::int64_t>(bytes) + kBytesPerToken - 1) /
@@ -29,8 +29,8 @@
   return content;
 }
 
-// The answer depends on the whole prompt, so that a lost or mixed history
-// shows.
+// The response depends on the whole prompt, so that tests detect a lost or
+// mixed-up history.
 std::string AnswerTo(const std::string& content) {
   const auto last = content.rfind("user: ");
   const auto from = last == std::string::npos ? 0 : last + 6;
@@ -96,7 +96,7 @@
   return false;
 }
 
-void Engine::TakeSlot(std::int64_t priority) {
+void Engine::AcquireSlot(std::int64_t priority) {
   std::unique_lock lock(m_mutex);
   m_waiting.insert(priority);
   m_changed.wait(lock, [&] {
@@ -104,49 +104,49 @@
   });
   m_waiting.erase(m_waiting.find(priority));
   ++m_running;
-  NoteLoad();
+  RecordLoad();
 }
 
-void Engine::GiveSlot() {
+void Engine::ReleaseSlot() {
   {
     const std::lock_guard lock(m_mutex);
     --m_running;
-    NoteLoad();
+    RecordLoad();
   }
   m_changed.notify_all();
 }
 
 std::int64_t Engine::UsePrefix(const std::string& key, std::int64_t tokens) {
   const std::lock_guard lock(m_mutex);
-  const auto            held = m_prefixes.find(key);
+  const auto            found = m_prefixes.find(key);
   std::int64_t          cached = 0;
-  if (held != m_prefixes.end()) {
-    cached = std::min(tokens, held->second.tokens);
-    m_cached -= held->second.tokens;
-    m_ages.erase(held->second.age);
-    m_prefixes.erase(held);
+  if (found != m_prefixes.end()) {
+    cached = std::min(tokens, found->second.tokens);
+    m_cached -= found->second.tokens;
+    m_lru_keys.erase(found->second.lru_position);
+    m_prefixes.erase(found);
   }
-  m_ages.push_back(key);
-  m_prefixes[key] = {tokens, std::prev(m_ages.end())};
+  m_lru_keys.push_back(key);
+  m_prefixes[key] = {tokens, std::prev(m_lru_keys.end())};
   m_cached += tokens;
   Publish(key, "stored");
   while (m_cached > m_settings.cache_tokens && m_prefixes.size() > 1)
-    Drop(std::string(m_ages.front()), "evicted");
+    Drop(std::string(m_lru_keys.front()), "evicted");
   return cached;
 }
 
 void Engine::Drop(const std::string& key, const char* why) {
-  const auto held = m_prefixes.find(key);
-  if (held == m_prefixes.end()) return;
-  m_cached -= held->second.tokens;
-  m_ages.erase(held->second.age);
-  m_prefixes.erase(held);
+  const auto found = m_prefixes.find(key);
+  if (found == m_prefixes.end()) return;
+  m_cached -= found->second.tokens;
+  m_lru_keys.erase(found->second.lru_position);
+  m_prefixes.erase(found);
   Publish(key, why);
 }
 
 void Engine::Publish(const std::string& key, const char* what) {
   ++m_event_number;
-  if (m_event_number % m_settings.event_gap_every == 0) return;  // lost
+  if (m_event_number % m_settings.event_gap_every == 0) return;  // dropped
   m_events.push_back({m_event_number, Clock::now(), key, what});
 }
 
@@ -160,14 +160,14 @@
     if (IsFenced(request.body->getValue<std::int64_t>("fence")))
       return SendStatus(response, kConflict);
   }
-  TakeSlot(request.body->optValue<std::int64_t>("priority", 0));
+  AcquireSlot(request.body->optValue<std::int64_t>("priority", 0));
   const std::int64_t prompt = Tokens(content.size());
   const std::int64_t cached = UsePrefix(key, prompt);
   {
     const std::lock_guard lock(m_mutex);
     ++m_completions[key];
   }
-  Linger(
+  SleepFor(
       static_cast<int>((prompt - cached) / m_settings.prefill_tokens_per_ms));
   std::string answer = AnswerTo(content);
   answer.resize(std::min(answer.size(),
@@ -176,19 +176,19 @@
   response.setChunkedTransferEncoding(true);
   auto& out = response.send();
   for (std::size_t at = 0; at < answer.size() && out; at += kBytesPerToken) {
-    Linger(m_settings.decode_ms);
+    SleepFor(m_settings.decode_ms);
     out << Event(answer.substr(at, kBytesPerToken)) << std::flush;
   }
   std::unique_lock lock(m_mutex);
   while (m_hold && out) {
     lock.unlock();
-    Linger(kHoldCheckMs);
+    SleepFor(kHoldPollMs);
     lock.lock();
   }
   m_tokens += prompt + Tokens(answer.size());
   lock.unlock();
   out << UsageEvent(prompt, cached, Tokens(answer.size())) << std::flush;
-  GiveSlot();
+  ReleaseSlot();
 }
 
 void Engine::Release(const Request&                 request,
@@ -197,7 +197,8 @@
   if (IsFenced(request.body->getValue<std::int64_t>("fence")))
     return SendStatus(response, kConflict);
   if (request.body->optValue<bool>("all", false)) {
-    while (!m_ages.empty()) Drop(std::string(m_ages.front()), "released");
+    while (!m_lru_keys.empty())
+      Drop(std::string(m_lru_keys.front()), "released");
   } else {
     Drop(request.body->getValue<std::string>("cache_key"), "released");
   }
@@ -219,10 +220,10 @@
   SendJson(response, kOk, json);
 }
 
-void Engine::NoteLoad() {
-  constexpr std::size_t kKept = 4096;
+void Engine::RecordLoad() {
+  constexpr std::size_t kMaxReports = 4096;
   m_loads.push_back({Clock::now(), m_running, m_waiting.size(), m_cached});
-  if (m_loads.size() > kKept) m_loads.erase(m_loads.begin());
+  if (m_loads.size() > kMaxReports) m_loads.erase(m_loads.begin());
 }
 
 void Engine::Events(const Request&                 request,
--- a/standins/engine.h
+++ b/standins/engine.h
@@ -1,13 +1,13 @@
-// Stand-in of a model engine.
+// Stand-in for a model engine.
 //
-// Streams answers token by token, serves a limited number of calls at once by
-// priority, keeps prefixes in a limited cache, reports load with a lag, and
-// publishes cache events late and with gaps. One kind refuses orders that carry
-// an old fencing number, the other ignores the number.
+// Streams responses token by token, runs a limited number of calls at once in
+// priority order, caches prefixes up to a limit, reports load with a lag, and
+// publishes cache events late and with gaps. Depending on `checks_fence`, it
+// rejects requests with an old fencing number (409).
 //
 //   POST /v1/chat/completions, POST /v1/cache/release
 //   GET  /v1/load, GET /v1/cache/events?from=N, GET /effects
-//   POST /control {"hold": bool}   while set, calls run but do not finish
+//   POST /control {"hold": bool}   while true, calls run but do not finish
 #pragma once
 
 #include <chrono>
@@ -25,11 +25,11 @@
 struct EngineSettings {
   std::string  model;
   int          slots = 8;
-  int          decode_ms = 2;  // per token of the answer
+  int          decode_ms = 2;  // per generated token
   int          prefill_tokens_per_ms = 50;
   std::int64_t cache_tokens = 200000;
   int          event_lag_ms = 500;
-  int          event_gap_every = 10;  // every n-th cache event is lost
+  int          event_gap_every = 10;  // every nth cache event is dropped
   bool         checks_fence = true;
 };
 
@@ -43,7 +43,7 @@
   using Clock = std::chrono::steady_clock;
   struct Prefix {
     std::int64_t                     tokens = 0;
-    std::list<std::string>::iterator age;
+    std::list<std::string>::iterator lru_position;
   };
   struct LoadReport {
     Clock::time_point at;
@@ -62,13 +62,13 @@
                 Poco::Net::HTTPServerResponse& response);
   void Release(const Request& request, Poco::Net::HTTPServerResponse& response);
   void Load(Poco::Net::HTTPServerResponse& response);
-  void NoteLoad();
+  void RecordLoad();
   void Events(const Request& request, Poco::Net::HTTPServerResponse& response);
   void Effects(Poco::Net::HTTPServerResponse& response);
   bool IsFenced(std::int64_t fence);
-  void TakeSlot(std::int64_t priority);
-  void GiveSlot();
-  // Tokens of the prompt already held; holds all of it from now on.
+  void AcquireSlot(std::int64_t priority);
+  void ReleaseSlot();
+  // Caches the prompt's prefix and returns the tokens that were cached before.
   std::int64_t UsePrefix(const std::string& key, std::int64_t tokens);
   void         Drop(const std::string& key, const char* why);
   void         Publish(const std::string& key, const char* what);
@@ -82,7 +82,7 @@
   bool                          m_hold = false;
   std::int64_t                  m_fence = -1;
   std::map<std::string, Prefix> m_prefixes;
-  std::list<std::string>        m_ages;  // least recently used first
+  std::list<std::string>        m_lru_keys;  // least recently used first
   std::int64_t                  m_cached = 0;
   std::vector<CacheEvent>       m_events;
   std::int64_t                  m_event_number = 0;
--- a/standins/log_service.cc
+++ b/standins/log_service.cc
@@ -34,7 +34,7 @@
     slow = m_slow_ms;
     down = m_mode == Mode::kDown;
   }
-  Linger(slow);
+  SleepFor(slow);
   if (down) return SendStatus(response, kUnavailable);
   if (request.method == "POST") return Append(name, request, response);
   Read(name, request, response);
@@ -51,7 +51,7 @@
       request.body->optValue<std::int64_t>("retention_ms", m_retention_ms);
 }
 
-bool LogService::TakeAllowance() {
+bool LogService::TryConsumeQuota() {
   const auto now = Clock::now();
   while (!m_recent.empty() && now - m_recent.front() > kSecond)
     m_recent.pop_front();
@@ -60,7 +60,7 @@
   return true;
 }
 
-void LogService::DropOld(Stream* stream) {
+void LogService::DeleteExpired(Stream* stream) {
   if (m_retention_ms == 0) return;
   const auto keep = std::chrono::milliseconds(m_retention_ms);
   const auto now = Clock::now();
@@ -77,7 +77,7 @@
   bool               lose = false;
   {
     const std::lock_guard lock(m_mutex);
-    if (!TakeAllowance()) {
+    if (!TryConsumeQuota()) {
       ++m_refused;
       return SendStatus(response, kUnavailable);
     }
@@ -105,7 +105,7 @@
     const std::lock_guard lock(m_mutex);
     ++m_reads;
     Stream& stream = m_streams[name];
-    DropOld(&stream);
+    DeleteExpired(&stream);
     const std::int64_t asked =
         from == request.query.end() ? 0 : std::stoll(from->second);
     const auto first = std::max(asked, stream.earliest) - stream.earliest;
--- a/standins/log_service.h
+++ b/standins/log_service.h
@@ -1,9 +1,10 @@
-// Stand-in of the platform's append-only log.
+// Stand-in for the platform's append-only log.
 //
-// Keeps records for a limited time, takes a limited number of appends a second,
-// and can be switched into an outage, slowness, or losing the replies of
-// appends that took effect:  POST /control {"mode": "up" | "down" |
-// "lose_replies", "slow_ms": N, "retention_ms": N}
+// Deletes records after their retention and limits the appends per second. Can
+// simulate an outage, slowness, and lost replies to successful appends:
+//
+//   POST /control {"mode": "up" | "down" | "lose_replies", "slow_ms": N,
+//                  "retention_ms": N}
 #pragma once
 
 #include <chrono>
@@ -23,13 +24,13 @@
 
  private:
   using Clock = std::chrono::steady_clock;
-  struct Kept {
+  struct StoredRecord {
     std::string       data;
     Clock::time_point at;
   };
   struct Stream {
-    std::deque<Kept> records;
-    std::int64_t     earliest = 0;
+    std::deque<StoredRecord> records;
+    std::int64_t             earliest = 0;
   };
   enum class Mode { kUp, kDown, kLoseReplies };
 
@@ -39,14 +40,14 @@
   void Read(const std::string& name, const Request& request,
             Poco::Net::HTTPServerResponse& response);
   void Effects(Poco::Net::HTTPServerResponse& response);
-  bool TakeAllowance();
-  void DropOld(Stream* stream);
+  bool TryConsumeQuota();
+  void DeleteExpired(Stream* stream);
 
   std::mutex                    m_mutex;
   std::map<std::string, Stream> m_streams;
   Mode                          m_mode = Mode::kUp;
   int                           m_slow_ms = 0;
-  std::int64_t                  m_retention_ms = 0;  // 0: for ever
+  std::int64_t                  m_retention_ms = 0;  // 0: unlimited
   int                           m_appends_per_second;
   std::deque<Clock::time_point> m_recent;  // appends of the last second
   std::int64_t                  m_appends = 0;
--- a/standins/main.cc
+++ b/standins/main.cc
@@ -1,5 +1,5 @@
-// yw-standin: one stand-in of the platform, chosen by --kind. For tests and
-// demonstrations only.
+// yw-standin: runs one stand-in for a part of the platform, selected by --kind.
+// For tests and demonstrations only.
 #include <gflags/gflags.h>
 
 #include <iostream>
@@ -11,15 +11,15 @@
 #include "vm_list.h"
 
 DEFINE_string(kind, "", "log, vms, engine or app");
-DEFINE_string(host, "127.0.0.1", "address to serve on");
-DEFINE_int32(port, 0, "port to serve on; 0 takes any and prints it");
-DEFINE_int32(appends_per_second, 400, "appends the log takes");
-DEFINE_int32(lag_ms, 3000, "lag of the list of VMs");
-DEFINE_string(model, "laundry-7b", "model of the engine");
-DEFINE_int32(slots, 8, "calls the engine serves at once");
-DEFINE_int32(decode_ms, 2, "engine's time for a token");
-DEFINE_bool(checks_fence, true, "engine refuses old fencing numbers");
-DEFINE_int64(cache_tokens, 200000, "engine's prefix cache");
+DEFINE_string(host, "127.0.0.1", "address to listen on");
+DEFINE_int32(port, 0, "port to listen on; 0 selects and prints a free one");
+DEFINE_int32(appends_per_second, 400, "limit of appends to the log");
+DEFINE_int32(lag_ms, 3000, "lag of the list of VMs in ms");
+DEFINE_string(model, "laundry-7b", "name of the engine's model");
+DEFINE_int32(slots, 8, "concurrent calls of the engine");
+DEFINE_int32(decode_ms, 2, "engine's time per generated token in ms");
+DEFINE_bool(checks_fence, true, "engine rejects old fencing numbers");
+DEFINE_int64(cache_tokens, 200000, "engine's prefix cache size in tokens");
 
 namespace {
 
--- a/standins/server.cc
+++ b/standins/server.cc
@@ -111,7 +111,7 @@
   return 0;
 }
 
-void Linger(int ms) {
+void SleepFor(int ms) {
   if (ms > 0) std::this_thread::sleep_for(std::chrono::milliseconds(ms));
 }
 
--- a/standins/server.h
+++ b/standins/server.h
@@ -1,4 +1,4 @@
-// The HTTP server that all stand-ins share.
+// HTTP server shared by all stand-ins. Requests are served on several threads.
 #pragma once
 
 #include <Poco/JSON/Object.h>
@@ -18,14 +18,15 @@
   std::string                        method;
   std::string                        path;
   std::map<std::string, std::string> query;
-  Poco::JSON::Object::Ptr            body;  // empty object if there was none
+  Poco::JSON::Object::Ptr            body;  // an empty object without a body
 };
 
-// One kind of stand-in.
+// Request handler of one kind of stand-in.
 class StandIn {
  public:
   virtual ~StandIn() = default;
-  // Answers a request; may throw Poco::Exception for a bad one (400).
+  // Handles a request; called concurrently. A Poco::Exception is answered with
+  // 400.
   virtual void Serve(const Request&                 request,
                      Poco::Net::HTTPServerResponse& response) = 0;
 };
@@ -34,14 +35,15 @@
               const Poco::JSON::Object& json);
 void SendStatus(Poco::Net::HTTPServerResponse& response, int status);
 
-// Thrown by a stand-in to close the connection without an answer, which is what
-// a lost reply looks like.
+// Thrown by a stand-in to close the connection without a response, to simulate
+// a lost reply.
 struct LostReply {};
 
-// Serves on host:port until SIGTERM; port 0 takes any and prints it.
+// Serves on host:port until SIGTERM or SIGINT; prints the address. Port 0
+// selects a free port.
 int RunServer(StandIn& stand_in, const std::string& host, int port);
 
-// Waits in the calling request's thread; the stand-in's way of being slow.
-void Linger(int ms);
+// Blocks the calling thread for `ms` to simulate processing time.
+void SleepFor(int ms);
 
 }  // namespace standins
--- a/standins/vm_list.h
+++ b/standins/vm_list.h
@@ -1,8 +1,8 @@
-// Stand-in of the platform's list of VMs, which lags.
+// Stand-in for the platform's list of VMs, which is returned with a lag.
 //
 //   PUT    /vms/V  {"address": "host:port", "leaving": false}
 //   DELETE /vms/V
-//   GET    /vms    the list as it stood `lag_ms` ago
+//   GET    /vms    the list as of `lag_ms` ago
 #pragma once
 
 #include <chrono>
