--- a/src/yuccawick/testing/fakes.cc
+++ b/src/yuccawick/testing/fakes.cc
@@ -7,7 +7,7 @@
 namespace yuccawick::testing {
 namespace {
 
-constexpr std::size_t kRecordBytes = 200;  // of a record without history
+constexpr std::size_t kRecordBytes = 200;  // size of a record without history
 
 std::size_t BytesOf(const core::Record& record) {
   std::size_t bytes = kRecordBytes;
--- a/src/yuccawick/testing/fakes.h
+++ b/src/yuccawick/testing/fakes.h
@@ -1,6 +1,6 @@
-// Small fakes of what lies outside the core: the platform's log and a backend
-// server. Each can be switched into its failures, and each counts its effects,
-// so that a test can compare what callers were told with what really ran.
+// In-memory fakes of the platform's log and of a backend server, for tests of
+// the core. Failures can be injected, and effects are counted, so that a test
+// can compare the replies to callers with what was executed.
 #pragma once
 
 #include <cstdint>
@@ -14,18 +14,18 @@
 
 namespace yuccawick::testing {
 
-// How the log behaves.
+// Failure mode of the log.
 enum class LogMode : std::uint8_t {
   kUp,
-  kDown,        // refuses everything
-  kLosesReply,  // appends take effect, their replies are lost
+  kDown,        // refuses all requests
+  kLosesReply,  // appends take effect, but their replies are lost
 };
 
 class FakeLog {
  public:
   core::AppendDone Append(const core::AppendRecords& command);
   core::ReadDone   Read(const core::ReadRecords& command) const;
-  // Drops what retention would: everything below `offset`.
+  // Deletes all records below `offset`, as retention does.
   void             Trim(const std::string& stream, core::Offset offset);
 
   void                             SetMode(LogMode mode) { m_mode = mode; }
@@ -53,22 +53,23 @@
     core::Time    done_at = 0;
   };
 
-  // Takes an order. `takes` is how long it will run, ms.
+  // Starts a call that runs for `takes` ms.
   void Run(const core::RunCall& order, core::Time now, core::Duration takes);
   void Cancel(std::uint64_t run);
   void Release(const core::ReleasePrefix& order);
-  // What has finished by `now`. Held orders do not finish.
+  // Returns the calls that finished by `now` or were refused or cancelled since
+  // the last call of this function.
   std::vector<core::RunDone> Finish(core::Time now);
 
-  // While set, orders run but do not finish.
+  // While set, calls run but do not finish.
   void Hold(bool hold) { m_hold = hold; }
-  // Refuse orders with an older fencing number.
+  // Whether requests with an old fencing number are refused.
   void CheckFence(bool check) { m_checks_fence = check; }
 
-  // Times each call was run, by program and sequence.
+  // Number of executions of each call, by program and sequence.
   using Key = std::pair<core::ProgramId, core::Sequence>;
   const std::map<Key, int>& effects() const { return m_effects; }
-  // The order in which calls were run.
+  // Calls in the order of their execution.
   const std::vector<Key>&   order() const { return m_order; }
   int                       EffectsOf(const Key& key) const;
   std::size_t               prefixes_held() const { return m_prefixes.size(); }
--- a/src/yuccawick/testing/group.cc
+++ b/src/yuccawick/testing/group.cc
@@ -8,17 +8,11 @@
 namespace yuccawick::testing {
 namespace {
 
-constexpr core::Duration kCallDeadline = 30000;
+constexpr core::Duration kCallDeadline = 30000;  // ms
 constexpr core::Tokens   kCallTokens = 64;
 
 }  // namespace
 
-// Index
-//   Nodes      adding, killing, freezing
-//   Time       events in order
-//   Carrying   commands of the core
-//   Callers    requests and answers
-
 Group::Group(GroupSettings settings)
     : m_settings(std::move(settings)), m_random(m_settings.seed) {
   m_next_tick = m_now;
@@ -50,12 +44,12 @@
   node.ref.incarnation = ++m_incarnations;
   node.alive = true;
   node.frozen = false;
-  node.held.clear();
-  Boot(&node);
+  node.buffered.clear();
+  CreateNode(&node);
   return node.ref;
 }
 
-void Group::Boot(Node* node) {
+void Group::CreateNode(Node* node) {
   if (node->target.empty()) {
     core::EntrySettings settings;
     settings.self = node->ref;
@@ -87,7 +81,7 @@
   node.alive = false;
   node.agent.reset();
   node.entry.reset();
-  node.held.clear();
+  node.buffered.clear();
 }
 
 void Group::Freeze(const std::string& vm) { m_nodes.at(vm).frozen = true; }
@@ -95,9 +89,10 @@
 void Group::Thaw(const std::string& vm) {
   Node& node = m_nodes.at(vm);
   node.frozen = false;
-  // The timer that has long run out goes before what waits in the sockets.
+  // The expired timer fires before buffered messages are read.
   Deliver(&node, core::Tick{});
-  for (const auto& event : std::exchange(node.held, {})) Deliver(&node, event);
+  for (const auto& event : std::exchange(node.buffered, {}))
+    Deliver(&node, event);
 }
 
 void Group::Stop(const std::string& vm) {
@@ -131,20 +126,21 @@
   return m_settings.latency + jitter(m_random);
 }
 
-void Group::Post(const std::string& vm, std::uint64_t incarnation,
-                 core::Duration after, core::Event event) {
-  m_events.push({m_now + after, ++m_order, vm, incarnation, std::move(event)});
+void Group::Schedule(const std::string& vm, std::uint64_t incarnation,
+                     core::Duration after, core::Event event) {
+  m_events.push(
+      {m_now + after, ++m_last_sequence, vm, incarnation, std::move(event)});
 }
 
-void Group::StepTo(core::Time time) {
+void Group::DeliverUntil(core::Time time) {
   while (!m_events.empty() && m_events.top().at <= time) {
-    const Timed timed = m_events.top();
+    const ScheduledEvent next = m_events.top();
     m_events.pop();
-    m_now = std::max(m_now, timed.at);
-    Node&      node = m_nodes.at(timed.vm);
+    m_now = std::max(m_now, next.at);
+    Node&      node = m_nodes.at(next.vm);
     const bool same =
-        timed.incarnation == 0 || timed.incarnation == node.ref.incarnation;
-    if (same) Deliver(&node, timed.event);
+        next.incarnation == 0 || next.incarnation == node.ref.incarnation;
+    if (same) Deliver(&node, next.event);
   }
   m_now = std::max(m_now, time);
 }
@@ -153,7 +149,7 @@
   for (auto& [vm, backend] : m_backends) {
     Node& node = m_nodes.at(vm);
     for (const auto& done : backend.Finish(m_now)) {
-      if (node.alive) Post(vm, node.ref.incarnation, 0, done);
+      if (node.alive) Schedule(vm, node.ref.incarnation, 0, done);
     }
   }
 }
@@ -166,12 +162,12 @@
       m_next_tick = m_now + m_settings.tick;
       for (auto& [vm, node] : m_nodes) {
         if (m_has_vm_list && node.alive)
-          Post(vm, 0, 0, core::VmListRead{m_vm_list});
-        if (node.alive && !node.frozen) Post(vm, 0, 0, core::Tick{});
+          Schedule(vm, 0, 0, core::VmListRead{m_vm_list});
+        if (node.alive && !node.frozen) Schedule(vm, 0, 0, core::Tick{});
       }
     }
-    StepTo(m_now);
-    StepTo(std::min(until, m_now + 1));
+    DeliverUntil(m_now);
+    DeliverUntil(std::min(until, m_now + 1));
   }
 }
 
@@ -185,8 +181,8 @@
   return true;
 }
 
-// As many as the group's zones allow.
-std::size_t Group::WantedReplicas(const Node& node) const {
+// The configured number, limited by the model agents alive in other zones.
+std::size_t Group::ExpectedReplicas(const Node& node) const {
   std::size_t others = 0;
   for (const auto& [vm, other] : m_nodes) {
     const bool fits = other.alive && other.zone != node.zone &&
@@ -213,8 +209,8 @@
           if (node.agent == nullptr) continue;
           if (!node.agent->IsJoined()) return false;
           const bool needs_replica = node.kind == core::BackendKind::kModel;
-          if (needs_replica &&
-              node.agent->durability().Replicas().size() < WantedReplicas(node))
+          if (needs_replica && node.agent->durability().Replicas().size() <
+                                   ExpectedReplicas(node))
             return false;
         }
         return true;
@@ -222,39 +218,39 @@
       limit);
 }
 
-// ---- Carrying
+// ---- Commands of the core
 
 void Group::Deliver(Node* node, const core::Event& event) {
   if (!node->alive) return;
   if (node->frozen) {
-    node->held.push_back(event);
+    node->buffered.push_back(event);
     return;
   }
   std::vector<core::Command> commands = node->agent != nullptr
                                             ? node->agent->Handle(m_now, event)
                                             : node->entry->Handle(m_now, event);
-  for (const auto& command : commands) Carry(node, command);
+  for (const auto& command : commands) Execute(node, command);
 }
 
-void Group::Carry(Node* node, const core::Command& command) {
+void Group::Execute(Node* node, const core::Command& command) {
   const std::string& vm = node->ref.vm;
   const auto         incarnation = node->ref.incarnation;
   std::visit(
       [&](const auto& c) {
         using C = std::decay_t<decltype(c)>;
         if constexpr (std::is_same_v<C, core::SendMessage>) {
-          CarryMessage(node, c);
+          RouteMessage(node, c);
         } else if constexpr (std::is_same_v<C, core::AppendRecords>) {
           core::AppendDone done{c.append, core::LogStatus::kRefused, -1};
           if (!node->log_cut) done = m_log.Append(c);
-          Post(vm, incarnation, Latency(), done);
+          Schedule(vm, incarnation, Latency(), done);
         } else if constexpr (std::is_same_v<C, core::ReadRecords>) {
           core::ReadDone done;
           done.stream = c.stream;
           done.read = c.read;
           done.status = core::LogStatus::kRefused;
           if (!node->log_cut) done = m_log.Read(c);
-          Post(vm, incarnation, Latency(), done);
+          Schedule(vm, incarnation, Latency(), done);
         } else if constexpr (std::is_same_v<C, core::RunCall>) {
           const bool model = c.call.kind == core::BackendKind::kModel;
           m_backends.at(vm).Run(
@@ -277,7 +273,7 @@
       command);
 }
 
-void Group::CarryMessage(Node* node, const core::SendMessage& send) {
+void Group::RouteMessage(Node* node, const core::SendMessage& send) {
   ++m_messages;
   const std::string& from = node->ref.vm;
   const auto         to = m_nodes.find(send.to.vm);
@@ -286,16 +282,17 @@
   const Fate fate = m_filter ? m_filter(node->ref, send) : Fate::kDeliver;
   if (fate == Fate::kLose) return;
   if (!to->second.alive) {
-    Post(from, node->ref.incarnation, Latency(),
-         core::SendFailed{send.to, send.message});
+    Schedule(from, node->ref.incarnation, Latency(),
+             core::SendFailed{send.to, send.message});
     return;
   }
-  const core::Duration delay = fate == Fate::kDelay ? m_late : 0;
-  Post(send.to.vm, 0, Latency() + delay, received);
-  if (fate == Fate::kRepeat) Post(send.to.vm, 0, Latency() + m_late, received);
+  const core::Duration delay = fate == Fate::kDelay ? m_lateness : 0;
+  Schedule(send.to.vm, 0, Latency() + delay, received);
+  if (fate == Fate::kRepeat)
+    Schedule(send.to.vm, 0, Latency() + m_lateness, received);
 }
 
-// ---- Callers
+// ---- Requests of callers
 
 void Group::Publish(const core::Contract& contract) {
   core::Control control(core::Safeguards::All());
@@ -322,8 +319,8 @@
   return contract;
 }
 
-std::uint64_t Group::Give(const std::string& entry, core::Message message,
-                          std::uint64_t request) {
+std::uint64_t Group::SendToEntry(const std::string& entry,
+                                 core::Message message, std::uint64_t request) {
   Deliver(&m_nodes.at(entry), core::CallerMessage{std::move(message)});
   return request;
 }
@@ -334,7 +331,7 @@
                            const std::string&     model,
                            const core::ProgramId& parent) {
   const auto request = ++m_requests;
-  return Give(
+  return SendToEntry(
       entry,
       core::StartProgram{request, customer, workspace, model, "", parent},
       request);
@@ -342,12 +339,14 @@
 
 std::uint64_t Group::Call(const std::string& entry, core::Call call) {
   const auto request = ++m_requests;
-  return Give(entry, core::CallRequest{request, std::move(call)}, request);
+  return SendToEntry(entry, core::CallRequest{request, std::move(call)},
+                     request);
 }
 
 std::uint64_t Group::CallAs(const std::string& entry, std::uint64_t request,
                             core::Call call) {
-  return Give(entry, core::CallRequest{request, std::move(call)}, request);
+  return SendToEntry(entry, core::CallRequest{request, std::move(call)},
+                     request);
 }
 
 void Group::Inject(const std::string& vm, const core::Event& event) {
@@ -359,9 +358,9 @@
                            const std::string&     customer,
                            const std::string& workspace, bool end) {
   const auto request = ++m_requests;
-  return Give(entry,
-              core::ProgramQuery{request, program, customer, workspace, end},
-              request);
+  return SendToEntry(
+      entry, core::ProgramQuery{request, program, customer, workspace, end},
+      request);
 }
 
 core::Call Group::ModelCall(const core::ProgramId& program,
