--- a/bench/core_bench.cc
+++ b/bench/core_bench.cc
@@ -38,7 +38,7 @@
   }
   for (int i = 0; i < agents; ++i) {
     core::ReplicaRecord replica;
-    replica.home = {"vm-" + std::to_string(i), 1};
+    replica.coordinator = {"vm-" + std::to_string(i), 1};
     for (const int step : {1, 2}) {
       replica.replicas.push_back(
           {"vm-" + std::to_string((i + 18 * step + step) % agents), 1});
--- a/bench/policy_run.cc
+++ b/bench/policy_run.cc
@@ -39,9 +39,9 @@
   std::size_t                         next = 0;  // call
   core::Tokens                        history = 0;
   core::Tokens                        attained = 0;
-  std::size_t                         home = 0;
+  std::size_t                         coordinator = 0;
   std::map<std::size_t, core::Tokens> prefixes;
-  bool                                has_home = false;
+  bool                                has_coordinator = false;
   bool                                done = false;
   bool                                in_time = false;
   std::size_t                         server = 0;  // of the call under way
@@ -114,7 +114,7 @@
     for (std::size_t i = 0; i < m_programs.size(); ++i) {
       Program& program = m_programs[i];
       program.prefixes.erase(0);
-      if (program.home == 0) program.has_home = false;
+      if (program.coordinator == 0) program.has_coordinator = false;
       if (program.dispatch == 0 || program.server != 0) continue;
       // Its call was there; it comes back once the loss is noticed.
       program.dispatch = 0;
@@ -127,10 +127,12 @@
     for (std::size_t i = 0; i < m_servers.size(); ++i) {
       core::RouteCandidate candidate;
       candidate.usable = m_servers[i]->alive;
-      candidate.is_home = program.has_home && program.home == i;
+      candidate.is_coordinator =
+          program.has_coordinator && program.coordinator == i;
       // The home knows its own load now, others' as of its last look.
-      candidate.wait = candidate.is_home ? m_servers[i]->executor->LoadMs()
-                                         : m_servers[i]->known_load;
+      candidate.wait = candidate.is_coordinator
+                           ? m_servers[i]->executor->LoadMs()
+                           : m_servers[i]->known_load;
       candidate.resident = m_servers[i]->known_resident;
       const auto prefix = program.prefixes.find(i);
       if (prefix != program.prefixes.end()) candidate.cached = prefix->second;
@@ -150,9 +152,9 @@
     request.cache_weight = m_scenario.contract.cache_weight;
     const int  chosen = m_policy.route.Choose(request, Candidates(program));
     const auto at = static_cast<std::size_t>(chosen);
-    if (!program.has_home) {
-      program.home = at;
-      program.has_home = true;
+    if (!program.has_coordinator) {
+      program.coordinator = at;
+      program.has_coordinator = true;
     }
     program.server = at;
     const PlannedCall& call = plan.calls[program.next];
--- a/bench/recovery_bench.cc
+++ b/bench/recovery_bench.cc
@@ -16,8 +16,8 @@
 constexpr core::Duration kLong = 120'000;
 
 struct Cost {
-  int            homes = 0;     // lost
-  int            programs = 0;  // on each
+  int            coordinators = 0;  // lost
+  int            programs = 0;      // on each
   std::int64_t   appends = 0;
   std::int64_t   append_bytes = 0;
   std::int64_t   messages = 0;
@@ -30,7 +30,7 @@
 }
 
 // `homes` homes in zone a, as many replicas in b and c; then zone a is lost.
-Cost Measure(int homes, int programs) {
+Cost Measure(int coordinators, int programs) {
   testing::GroupSettings settings;
   settings.model_time = 5;
   settings.service_time = 5;
@@ -39,7 +39,7 @@
   };
   Group group(settings);
   group.AddEntry("entry", "b");
-  for (int i = 0; i < homes; ++i) {
+  for (int i = 0; i < coordinators; ++i) {
     const std::string number = std::to_string(i);
     group.AddAgent("a-" + number, "a", core::BackendKind::kModel, "lost");
     group.AddAgent("b-" + number, "b", core::BackendKind::kModel, "m");
@@ -53,9 +53,9 @@
   group.Settle(kLong);
   std::vector<core::ProgramId> ids;
   std::vector<std::uint64_t>   starts;
-  starts.reserve(static_cast<std::size_t>(homes) *
+  starts.reserve(static_cast<std::size_t>(coordinators) *
                  static_cast<std::size_t>(programs));
-  for (int i = 0; i < homes * programs; ++i)
+  for (int i = 0; i < coordinators * programs; ++i)
     starts.push_back(group.Start("entry", "sakhli", "w1", "lost"));
   group.Advance(5000);
   for (const auto start : starts) {
@@ -71,13 +71,13 @@
   }
   group.Advance(10'000);
   Cost cost;
-  cost.homes = homes;
-  cost.programs = static_cast<int>(ids.size()) / homes;
+  cost.coordinators = coordinators;
+  cost.programs = static_cast<int>(ids.size()) / coordinators;
   const auto appends = group.log().append_count();
   const auto bytes = group.log().append_bytes();
   const auto messages = group.message_count();
   const auto began = group.now();
-  for (int i = 0; i < homes; ++i) group.Kill("a-" + std::to_string(i));
+  for (int i = 0; i < coordinators; ++i) group.Kill("a-" + std::to_string(i));
   std::vector<std::uint64_t> seconds;
   seconds.reserve(ids.size());
   for (const auto& id : ids)
@@ -98,8 +98,8 @@
 }
 
 void Print(const Cost& cost) {
-  std::cout << std::setw(6) << cost.homes << std::setw(10) << cost.programs
-            << std::setw(9) << cost.appends << std::setw(12)
+  std::cout << std::setw(6) << cost.coordinators << std::setw(10)
+            << cost.programs << std::setw(9) << cost.appends << std::setw(12)
             << cost.append_bytes << std::setw(10) << cost.messages
             << std::setw(10) << cost.first << std::setw(9) << cost.all << "\n";
 }
@@ -107,18 +107,18 @@
 int Run() {
   std::cout << " homes  programs  appends       bytes  messages  first ms"
                "   all ms\n";
-  std::vector<Cost> one_home;
+  std::vector<Cost> one_coordinator;
   for (const int programs : {10, 50, 100, 333}) {
-    one_home.push_back(Measure(1, programs));
-    Print(one_home.back());
+    one_coordinator.push_back(Measure(1, programs));
+    Print(one_coordinator.back());
   }
   std::vector<Cost> zones;
-  for (const int homes : {1, 2, 4, 8}) {
-    zones.push_back(Measure(homes, 40));
+  for (const int coordinators : {1, 2, 4, 8}) {
+    zones.push_back(Measure(coordinators, 40));
     Print(zones.back());
   }
-  const auto&  small = one_home.front();
-  const auto&  large = one_home.back();
+  const auto&  small = one_coordinator.front();
+  const auto&  large = one_coordinator.back();
   const double per_program =
       static_cast<double>(large.messages - small.messages) /
       (large.programs - small.programs);
--- a/src/yuccawick/core/agent.cc
+++ b/src/yuccawick/core/agent.cc
@@ -36,9 +36,10 @@
       m_backups(m_control, m_outbox),
       m_executor(m_self, m_settings.executor, safeguards, queue_policy,
                  m_outbox),
-      m_home(m_self, m_settings.join.target, m_settings.home, safeguards,
-             {m_control, m_membership, m_budget, m_durability, m_executor,
-              route_policy, m_outbox}) {}
+      m_coordinator(m_self, m_settings.join.target, m_settings.coordinator,
+                    safeguards,
+                    {m_control, m_membership, m_budget, m_durability,
+                     m_executor, route_policy, m_outbox}) {}
 
 std::vector<Command> Agent::Handle(Time now, const Event& event) {
   if (m_stopped) return {};
@@ -53,7 +54,7 @@
   while (true) {
     RetryFunding(now);
     for (const Ticket ticket : std::exchange(m_held, {}))
-      m_home.OnHeld(ticket, now);
+      m_coordinator.OnDurable(ticket, now);
     auto commands = m_outbox.Take();
     if (commands.empty() && m_funding_changed.empty() && m_held.empty())
       return out;
@@ -70,7 +71,7 @@
 
 void Agent::RetryFunding(Time now) {
   for (const auto& customer : std::exchange(m_funding_changed, {}))
-    m_home.OnFunding(customer, now);
+    m_coordinator.OnFunding(customer, now);
 }
 
 // ---- Events
@@ -83,13 +84,13 @@
   if (m_durability.WantsControlRead())
     m_durability.OnControlReadStarted(m_tail.ReadNow(now));
   m_executor.OnTick(now);
-  m_home.OnTick(now);
+  m_coordinator.OnTick(now);
   KeepJoined(now);
   KeepReplicas(now);
   if (now >= m_next_scan) Scan(now);
-  if (m_tail.LogIsDown() || !m_tail.HasState()) {
+  if (m_tail.IsLogUnavailable() || !m_tail.HasState()) {
     const NodeRef* ahead = m_membership.PeerAhead();
-    if (ahead != nullptr) m_tail.AskPeer(*ahead);
+    if (ahead != nullptr) m_tail.RequestSnapshot(*ahead);
   }
   if (m_draining) Drain(now);
 }
@@ -99,10 +100,11 @@
 void Agent::Scan(Time now) {
   m_next_scan = now + m_settings.scan_interval;
   for (const auto& [node, peer] : m_membership.peers()) {
-    if (m_membership.IsSuspect(node)) m_home.OnPeerLost(node, now);
+    if (m_membership.IsSuspect(node))
+      m_coordinator.OnPeerUnreachable(node, now);
   }
   m_backups.Forget(m_self, now);
-  ClaimLostHomes(now);
+  ClaimDeadPeers(now);
 }
 
 void Agent::On(const MessageReceived& event, Time now) {
@@ -127,8 +129,8 @@
   m_membership.OnSendFailed(event.to, now);
   const auto* order =
       event.unsent ? std::get_if<Dispatch>(&*event.unsent) : nullptr;
-  if (order != nullptr) return m_home.OnUnsent(*order, now);
-  m_home.OnPeerLost(event.to, now);
+  if (order != nullptr) return m_coordinator.OnUnsent(*order, now);
+  m_coordinator.OnPeerUnreachable(event.to, now);
 }
 
 void Agent::On(const AppendDone& event, Time now) {
@@ -163,7 +165,7 @@
 void Agent::On(const StopRequested& /*event*/, Time now) {
   if (m_draining) return;
   m_draining = true;
-  m_home.StartDraining();
+  m_coordinator.StartDraining();
   m_executor.StartDraining();
   LogLine line;
   line.event = LogEvent::kLeaving;
@@ -178,19 +180,19 @@
       [&](const auto& m) {
         using M = std::decay_t<decltype(m)>;
         if constexpr (std::is_same_v<M, StartProgram>) {
-          m_home.OnStart(from, m, now);
+          m_coordinator.OnStart(from, m, now);
         } else if constexpr (std::is_same_v<M, CallRequest>) {
-          m_home.OnCall(from, m, now);
+          m_coordinator.OnCall(from, m, now);
         } else if constexpr (std::is_same_v<M, ProgramQuery>) {
-          m_home.OnQuery(from, m, now);
+          m_coordinator.OnQuery(from, m, now);
         } else if constexpr (std::is_same_v<M, CancelRequest>) {
-          m_home.OnCancel(from, m, now);
+          m_coordinator.OnCancel(from, m, now);
         } else if constexpr (std::is_same_v<M, Dispatch>) {
           m_executor.OnDispatch(from, m, now);
         } else if constexpr (std::is_same_v<M, DispatchChunk>) {
-          m_home.OnDispatchChunk(from, m);
+          m_coordinator.OnDispatchChunk(from, m);
         } else if constexpr (std::is_same_v<M, DispatchReply>) {
-          m_home.OnDispatchReply(from, m, now);
+          m_coordinator.OnDispatchReply(from, m, now);
         } else if constexpr (std::is_same_v<M, CancelDispatch>) {
           m_executor.OnCancel(from, m, now);
         } else if constexpr (std::is_same_v<M, ReleaseCache>) {
@@ -202,7 +204,7 @@
         } else if constexpr (std::is_same_v<M, FenceCall>) {
           m_executor.OnFence(from, m, now);
         } else if constexpr (std::is_same_v<M, FenceReply>) {
-          m_home.OnFenceReply(from, m, now);
+          m_coordinator.OnFenceReply(from, m, now);
         } else if constexpr (std::is_same_v<M, Probe>) {
           OnProbe(from, m, now);
         } else if constexpr (std::is_same_v<M, ProbeReply>) {
@@ -223,8 +225,8 @@
   reply.load_ms = static_cast<std::uint64_t>(m_executor.LoadMs());
   reply.resident = m_executor.ResidentTokens();
   m_outbox.Send(from, reply);
-  if (probe.control_version > m_control.version() && m_tail.LogIsDown())
-    m_tail.AskPeer(from);
+  if (probe.control_version > m_control.version() && m_tail.IsLogUnavailable())
+    m_tail.RequestSnapshot(from);
   (void)now;
 }
 
@@ -294,10 +296,10 @@
 // Those that are replicas already and well, filled up with the members that
 // back up fewest homes; each in a zone of its own as far as there are zones.
 std::vector<NodeRef> Agent::ChooseReplicas() const {
-  std::map<NodeRef, int> homes_backed;
+  std::map<NodeRef, int> coordinators_backed;
   for (const auto& [node, member] : m_control.members()) {
     if (member.IsClaimed()) continue;
-    for (const auto& replica : member.replicas) ++homes_backed[replica];
+    for (const auto& replica : member.replicas) ++coordinators_backed[replica];
   }
   std::vector<NodeRef>  chosen;
   std::set<std::string> zones{m_settings.join.zone};
@@ -312,7 +314,7 @@
   const auto cost = [&](const Member& m) {
     const bool other_model = m.join.target != m_settings.join.target;
     return std::tuple(zones.contains(m.join.zone), other_model,
-                      homes_backed[m.join.node],
+                      coordinators_backed[m.join.node],
                       PairHash(m_self.vm, m.join.node.vm));
   };
   while (chosen.size() < m_settings.replicas) {
@@ -352,7 +354,7 @@
     if (fine) return;
     const auto chosen = ChooseReplicas();
     if (chosen.empty() || chosen == replicas) return;
-    m_durability.StartCandidates(chosen, m_home.Everything(), now);
+    m_durability.StartCandidates(chosen, m_coordinator.Everything(), now);
     m_assigned_at = 0;
     return;
   }
@@ -395,13 +397,13 @@
   return first && first->second == m_self;
 }
 
-void Agent::ClaimLostHomes(Time now) {
+void Agent::ClaimDeadPeers(Time now) {
   if (m_settings.join.kind != BackendKind::kModel || m_draining) return;
   if (!m_executor.IsJoined()) return;
   for (const auto& [node, member] : m_control.members()) {
     const bool lost = member.join.kind == BackendKind::kModel &&
                       !member.IsClaimed() && node != m_self &&
-                      m_membership.IsLost(node, now);
+                      m_membership.IsPresumedDead(node, now);
     if (!lost || !m_control.MayClaim(node, m_self)) continue;
     if (IsFirstToClaim(node)) AppendClaim(node, m_self, now);
   }
@@ -423,7 +425,7 @@
   for (const auto& [node, member] : m_control.members()) {
     if (member.adopter != m_self || m_adopted.contains(node)) continue;
     m_adopted.insert(node);
-    m_home.Adopt(node, member.claimed, m_backups.Take(node), now);
+    m_coordinator.Adopt(node, member.claimed, m_backups.Take(node), now);
     LogLine line;
     line.severity = Severity::kWarning;
     line.event = LogEvent::kAdopted;
@@ -447,10 +449,10 @@
   for (const auto& logged : done.records) {
     next = logged.offset + 1;
     const auto* history = std::get_if<HistoryRecord>(&logged.record);
-    if (history != nullptr) m_home.OnHistory(target, *history, now);
+    if (history != nullptr) m_coordinator.OnHistory(target, *history, now);
   }
   if (next < done.end) return ReadHistory(target, next);
-  m_home.OnHistoryComplete(target, now);
+  m_coordinator.OnHistoryComplete(target, now);
 }
 
 // ---- Stopping
@@ -469,7 +471,7 @@
     m_outbox.Append(std::string(kControlStream), {LeaveRecord{m_self}});
     m_tail.ReadNow(now);
   }
-  const bool busy = m_home.InFlight() > 0 || !m_executor.IsIdle();
+  const bool busy = m_coordinator.InFlight() > 0 || !m_executor.IsIdle();
   if (busy && m_safeguards.Has(Safeguard::kDrainInFlight)) return;
   m_durability.FlushNow(now);
   if (!m_durability.IsQuiet()) return;
--- a/src/yuccawick/core/agent.h
+++ b/src/yuccawick/core/agent.h
@@ -3,7 +3,7 @@
 //
 // Give it events with the time; carry out the commands it returns, in order.
 // It joins by a record on the control stream, gets itself a replica in another
-// availability zone, owns programs (Home), gives orders to its server
+// availability zone, owns programs (Coordinator), gives orders to its server
 // (Executor), and takes over the programs of homes it backs up.
 #pragma once
 
@@ -15,9 +15,9 @@
 
 #include "yuccawick/core/budget.h"
 #include "yuccawick/core/control_tail.h"
+#include "yuccawick/core/coordinator.h"
 #include "yuccawick/core/durability.h"
 #include "yuccawick/core/executor.h"
-#include "yuccawick/core/home.h"
 #include "yuccawick/core/membership.h"
 
 namespace yuccawick::core {
@@ -29,7 +29,7 @@
   BudgetSettings      budget;
   DurabilitySettings  durability;
   ExecutorSettings    executor;
-  HomeSettings        home;
+  CoordinatorSettings coordinator;
   std::size_t         replicas = 2;  // copies beside the home's own, in other
                                      // zones
   Duration            leave_grace = 5000;   // ms a leaving agent still refuses
@@ -54,7 +54,7 @@
   const Budget&      budget() const { return m_budget; }
   const Durability&  durability() const { return m_durability; }
   const Executor&    executor() const { return m_executor; }
-  const Home&        home() const { return m_home; }
+  const Coordinator& coordinator() const { return m_coordinator; }
   const BackupStore& backups() const { return m_backups; }
   ConfigPhase        config_phase() const { return m_tail.phase(); }
   bool               IsJoined() const { return m_executor.IsJoined(); }
@@ -86,7 +86,7 @@
   void                 KeepReplicas(Time now);
   std::vector<NodeRef> ChooseReplicas() const;
   bool                 MayBeReplica(const Member& member) const;
-  void                 ClaimLostHomes(Time now);
+  void                 ClaimDeadPeers(Time now);
   bool                 IsFirstToClaim(const NodeRef& target) const;
   void AppendClaim(const NodeRef& target, const NodeRef& adopter, Time now);
   void AdoptClaimed(Time now);
@@ -113,7 +113,7 @@
   Durability    m_durability;
   BackupStore   m_backups;
   Executor      m_executor;
-  Home          m_home;
+  Coordinator   m_coordinator;
 
   std::vector<Ticket>              m_held;
   std::set<std::string>            m_funding_changed;  // customers
--- a/src/yuccawick/core/control.cc
+++ b/src/yuccawick/core/control.cc
@@ -78,14 +78,14 @@
   return it == m_newest_on_vm.end() ? nullptr : FindMember(it->second);
 }
 
-Control::Home Control::Resolve(const NodeRef& origin) const {
-  Home home{origin, kNoOffset};
+Control::Coordinator Control::Resolve(const NodeRef& origin) const {
+  Coordinator coordinator{origin, kNoOffset};
   for (int i = 0; i < kMaxClaimChain; ++i) {
-    const Member* member = FindMember(home.node);
+    const Member* member = FindMember(coordinator.node);
     if (member == nullptr || !member->IsClaimed()) break;
-    home = {member->adopter, member->claimed};
+    coordinator = {member->adopter, member->claimed};
   }
-  return home;
+  return coordinator;
 }
 
 bool Control::MayClaim(const NodeRef& target, const NodeRef& adopter) const {
@@ -121,13 +121,14 @@
 }
 
 Effect Control::Fold(Offset /*offset*/, const ReplicaRecord& record) {
-  const auto home = m_members.find(record.home);
-  if (home == m_members.end() || home->second.IsClaimed()) return Effect::kVoid;
+  const auto coordinator = m_members.find(record.coordinator);
+  if (coordinator == m_members.end() || coordinator->second.IsClaimed())
+    return Effect::kVoid;
   for (const auto& node : record.replicas) {
     const Member* replica = FindMember(node);
     if (replica == nullptr || replica->IsClaimed()) return Effect::kVoid;
   }
-  home->second.replicas = record.replicas;
+  coordinator->second.replicas = record.replicas;
   return Effect::kApplied;
 }
 
--- a/src/yuccawick/core/control.h
+++ b/src/yuccawick/core/control.h
@@ -45,12 +45,12 @@
     return m_contracts;
   }
 
-  struct Home {
+  struct Coordinator {
     NodeRef node;               // who owns the programs now
     Offset  fence = kNoOffset;  // claim that made it so; kNoOffset: origin
   };
   // Follows claims from a node to the present owner of its programs.
-  Home Resolve(const NodeRef& origin) const;
+  Coordinator Resolve(const NodeRef& origin) const;
 
   // True if a claim by `adopter` would be valid now.
   bool MayClaim(const NodeRef& target, const NodeRef& adopter) const;
--- a/src/yuccawick/core/control_tail.cc
+++ b/src/yuccawick/core/control_tail.cc
@@ -57,7 +57,7 @@
   // Started in an outage: no member is known yet, but the platform's list names
   // VMs whose nodes have been up for longer. One is asked at a time.
   const auto& vm = m_vms[m_asked++ % m_vms.size()].vm;
-  if (vm != m_self.vm) AskPeer(NodeRef{vm, 0});
+  if (vm != m_self.vm) RequestSnapshot(NodeRef{vm, 0});
 }
 
 void ControlTail::Fold(const ReadDone& done) {
@@ -85,7 +85,7 @@
   m_on_change(now);
 }
 
-void ControlTail::AskPeer(const NodeRef& peer) {
+void ControlTail::RequestSnapshot(const NodeRef& peer) {
   m_outbox.Send(peer, ControlPull{});
 }
 
--- a/src/yuccawick/core/control_tail.h
+++ b/src/yuccawick/core/control_tail.h
@@ -36,14 +36,14 @@
   // Where to ask while no state is held and the log is down.
   void OnVmList(const VmListRead& list) { m_vms = list.vms; }
   // A peer is ahead of us while we cannot read.
-  void AskPeer(const NodeRef& peer);
+  void RequestSnapshot(const NodeRef& peer);
 
   // Reads at once; returns the read's number. A read under way is superseded.
   std::uint64_t ReadNow(Time now);
   ConfigPhase   phase() const { return m_phase; }
   bool          HasState() const { return m_phase != ConfigPhase::kNone; }
   // Number of the last read that ended well, and of the last that ended.
-  bool          LogIsDown() const { return m_phase == ConfigPhase::kBehind; }
+  bool IsLogUnavailable() const { return m_phase == ConfigPhase::kBehind; }
 
  private:
   void Fold(const ReadDone& done);
--- a/src/yuccawick/core/home.cc
+++ b/src/yuccawick/core/coordinator.cc
@@ -1,4 +1,4 @@
-#include "yuccawick/core/home.h"
+#include "yuccawick/core/coordinator.h"
 
 #include <algorithm>
 #include <cassert>
@@ -13,10 +13,12 @@
 //   Ending       by the caller, by idleness
 //   Shared       helpers of all parts
 //
-// home_calls.cc has the calls, home_recovery.cc what follows a claim.
+// coordinator_calls.cc has the calls, coordinator_recovery.cc what follows a
+// claim.
 
-Home::Home(NodeRef self, std::string model, HomeSettings settings,
-           Safeguards safeguards, Parts parts)
+Coordinator::Coordinator(NodeRef self, std::string model,
+                         CoordinatorSettings settings, Safeguards safeguards,
+                         Parts parts)
     : m_self(std::move(self)),
       m_model(std::move(model)),
       m_settings(settings),
@@ -25,7 +27,8 @@
 
 // ---- Starting
 
-tl::expected<void, Failure> Home::CheckStart(const StartProgram& start) const {
+tl::expected<void, Failure> Coordinator::CheckStart(
+    const StartProgram& start) const {
   if (m_draining) return tl::make_unexpected(Refuse(Reason::kDraining));
   const ContractInForce* contract =
       m_parts.control.FindContract(start.customer);
@@ -49,7 +52,8 @@
   return {};
 }
 
-void Home::OnStart(const NodeRef& from, const StartProgram& start, Time now) {
+void Coordinator::OnStart(const NodeRef& from, const StartProgram& start,
+                          Time now) {
   const Caller caller{from, start.request};
   // A start that comes again must not leave a second program behind.
   if (const auto minted = m_minted_for.find(caller);
@@ -62,13 +66,13 @@
   TryStart({caller, start, now}, now);
 }
 
-void Home::RepeatStart(const Caller& caller, const ProgramId& id) {
+void Coordinator::RepeatStart(const Caller& caller, const ProgramId& id) {
   const auto waits = [&](const auto& entry) { return entry.second == id; };
   if (std::any_of(m_started_as.begin(), m_started_as.end(), waits)) return;
   ReplyStart(caller, id);
 }
 
-void Home::TryStart(const Start& start, Time now) {
+void Coordinator::TryStart(const Start& start, Time now) {
   // Sub-agents share their parent's slot; a slot of their own could leave every
   // parent waiting for a child that gets none.
   if (start.start.parent.IsSet()) return Mint(start, false, now);
@@ -92,7 +96,7 @@
   }
 }
 
-void Home::Mint(const Start& start, bool holds_slot, Time now) {
+void Coordinator::Mint(const Start& start, bool holds_slot, Time now) {
   const ProgramId id{m_self, ++m_minted};
   Program&        program = m_programs[id];
   ProgramMeta&    meta = program.state.meta;
@@ -107,13 +111,13 @@
   program.holds_slot = holds_slot;
   m_parts.outbox.Push(Count{Counter::kPrograms, "started", 1});
   Log(LogEvent::kProgramStarted, program, 0, "");
-  const Ticket ticket = HoldMeta(&program, now);
+  const Ticket ticket = MakeMetaDurable(&program, now);
   m_started[ticket] = {start.caller, start.start, now};
   m_started_as[ticket] = id;
   m_minted_for[start.caller] = id;
 }
 
-void Home::RetryStarts(const std::string& customer, Time now) {
+void Coordinator::RetryStarts(const std::string& customer, Time now) {
   for (const auto& start : std::exchange(m_starts, {})) {
     if (start.start.customer == customer) {
       TryStart(start, now);
@@ -125,7 +129,8 @@
 
 // ---- Ending
 
-void Home::OnQuery(const NodeRef& from, const ProgramQuery& query, Time now) {
+void Coordinator::OnQuery(const NodeRef& from, const ProgramQuery& query,
+                          Time now) {
   const Caller caller{from, query.request};
   const auto   found = FindFor(query.program, query.customer, query.workspace);
   if (!found) return ReplyQuery(caller, tl::make_unexpected(found.error()));
@@ -137,12 +142,12 @@
   if (program->active || !program->waiting.empty())
     return ReplyQuery(caller, tl::make_unexpected(Refuse(Reason::kNotReady)));
   Finish(program, now);
-  const Ticket ticket = HoldMeta(program, now);
+  const Ticket ticket = MakeMetaDurable(program, now);
   m_ending[ticket] = {caller, query.program};
 }
 
 // Ends the program and its sub-agents. None has a call under way.
-void Home::Finish(Program* program, Time now) {
+void Coordinator::Finish(Program* program, Time now) {
   if (program->state.meta.ended) return;
   const ProgramId id = program->state.meta.id;
   program->state.meta.ended = true;
@@ -161,18 +166,18 @@
         child.state.meta.parent == id && child.phase == ProgramPhase::kIdle;
     if (!ends || child.state.meta.ended) continue;
     Finish(&child, now);
-    HoldMeta(&child, now);
+    MakeMetaDurable(&child, now);
   }
 }
 
-void Home::ReleasePrefixes(Program* program) {
+void Coordinator::ReleasePrefixes(Program* program) {
   if (!m_safeguards.Has(Safeguard::kPrefixRelease)) return;
   for (const auto& [executor, tokens] : program->prefixes)
     m_parts.outbox.Send(executor, ReleaseCache{program->state.meta.id});
   program->prefixes.clear();
 }
 
-void Home::ExpireIdle(Time now) {
+void Coordinator::ExpireIdle(Time now) {
   std::vector<ProgramId> forgotten;
   for (auto& [id, program] : m_programs) {
     const ProgramMeta& meta = program.state.meta;
@@ -190,7 +195,7 @@
     // not stay held for it.
     m_parts.outbox.Push(Count{Counter::kPrograms, "expired", 1});
     Finish(&program, now);
-    HoldMeta(&program, now);
+    MakeMetaDurable(&program, now);
   }
   for (const auto& id : forgotten) m_programs.erase(id);
   std::erase_if(m_minted_for, [this](const auto& entry) {
@@ -200,23 +205,24 @@
 
 // ---- Shared
 
-void Home::Fire(Program* program, ProgramEvent event) {
+void Coordinator::Fire(Program* program, ProgramEvent event) {
   const bool legal = GetProgramChart().Fire(&program->phase, event);
   assert(legal && "charts/program.chart has no such transition");
   (void)legal;
 }
 
-Ticket Home::HoldMeta(Program* program, Time now) {
+Ticket Coordinator::MakeMetaDurable(Program* program, Time now) {
   ++program->state.meta.revision;
-  return m_parts.durability.Hold({program->state.meta, {}}, now);
+  return m_parts.durability.MakeDurable({program->state.meta, {}}, now);
 }
 
-Ticket Home::HoldTurn(Program* program, const Turn& turn, Time now) {
+Ticket Coordinator::MakeTurnDurable(Program* program, const Turn& turn,
+                                    Time now) {
   ++program->state.meta.revision;
-  return m_parts.durability.Hold({program->state.meta, {turn}}, now);
+  return m_parts.durability.MakeDurable({program->state.meta, {turn}}, now);
 }
 
-Home::Program* Home::RootOf(Program* program) {
+Coordinator::Program* Coordinator::RootOf(Program* program) {
   while (program->state.meta.parent.IsSet()) {
     const auto it = m_programs.find(program->state.meta.parent);
     if (it == m_programs.end()) break;
@@ -225,7 +231,7 @@
   return program;
 }
 
-Tokens Home::WorstCase(const Program& program, const Call& call) const {
+Tokens Coordinator::WorstCase(const Program& program, const Call& call) const {
   if (call.kind != BackendKind::kModel) return 0;
   if (!m_safeguards.Has(Safeguard::kWorstCaseReserve)) return 1;
   const Tokens prompt =
@@ -233,7 +239,7 @@
   return prompt + call.max_tokens;
 }
 
-bool Home::HasBackend(const Call& call) const {
+bool Coordinator::HasBackend(const Call& call) const {
   const auto& members = m_parts.control.members();
   return std::any_of(members.begin(), members.end(), [&](const auto& entry) {
     const JoinRecord& join = entry.second.join;
@@ -242,25 +248,26 @@
   });
 }
 
-NodeRef Home::Route(const Program& program, const Call& call) const {
+NodeRef Coordinator::Route(const Program& program, const Call& call) const {
   std::vector<NodeRef>        nodes;
   std::vector<RouteCandidate> candidates;
   for (const auto& [node, member] : m_parts.control.members()) {
     if (member.join.kind != call.kind || member.join.target != call.target)
       continue;
     RouteCandidate candidate;
-    candidate.is_home = node == m_self;
+    candidate.is_coordinator = node == m_self;
     const auto& peers = m_parts.membership.peers();
-    const bool  heard = candidate.is_home || peers.contains(node);
+    const bool  heard = candidate.is_coordinator || peers.contains(node);
     // An engine whose load is not known would look idle: leave it out, unless
     // this home came to the program from another model and knows none of its.
     const bool  own_model =
         call.kind == BackendKind::kModel && call.target == m_model;
     if (!heard && own_model) continue;
-    candidate.usable = candidate.is_home || m_parts.membership.IsUsable(node);
-    candidate.wait = candidate.is_home ? m_parts.executor.LoadMs()
-                                       : m_parts.membership.LoadOf(node);
-    candidate.resident = candidate.is_home
+    candidate.usable =
+        candidate.is_coordinator || m_parts.membership.IsUsable(node);
+    candidate.wait = candidate.is_coordinator ? m_parts.executor.LoadMs()
+                                              : m_parts.membership.LoadOf(node);
+    candidate.resident = candidate.is_coordinator
                              ? m_parts.executor.ResidentTokens()
                              : m_parts.membership.ResidentOf(node);
     const auto prefix = program.prefixes.find(node);
@@ -292,14 +299,15 @@
   return chosen < 0 ? NodeRef{} : nodes[static_cast<std::size_t>(chosen)];
 }
 
-void Home::ReplyAll(const std::vector<Caller>& callers,
-                    const Outcome&             outcome) {
+void Coordinator::ReplyAll(const std::vector<Caller>& callers,
+                           const Outcome&             outcome) {
   for (const auto& caller : callers) Reply(caller, outcome);
 }
 
 template <class R, class T>
-void Home::SendReply(const Caller&                   caller,
-                     const tl::expected<T, Failure>& result, T R::*value) {
+void Coordinator::SendReply(const Caller&                   caller,
+                            const tl::expected<T, Failure>& result,
+                            T R::*value) {
   R reply;
   reply.request = caller.request;
   reply.ok = result.has_value();
@@ -312,47 +320,47 @@
   m_parts.outbox.Send(caller.entry, std::move(reply));
 }
 
-void Home::Reply(const Caller& caller, const Outcome& outcome) {
+void Coordinator::Reply(const Caller& caller, const Outcome& outcome) {
   SendReply(caller, outcome, &CallReply::answer);
 }
 
-void Home::ReplyStart(const Caller&                           caller,
-                      const tl::expected<ProgramId, Failure>& result) {
+void Coordinator::ReplyStart(const Caller&                           caller,
+                             const tl::expected<ProgramId, Failure>& result) {
   SendReply(caller, result, &StartReply::program);
 }
 
-void Home::ReplyQuery(const Caller&                              caller,
-                      const tl::expected<ProgramDelta, Failure>& result) {
+void Coordinator::ReplyQuery(
+    const Caller& caller, const tl::expected<ProgramDelta, Failure>& result) {
   SendReply(caller, result, &ProgramReply::program);
 }
 
-std::size_t Home::InFlight() const {
+std::size_t Coordinator::InFlight() const {
   std::size_t count = m_starts.size() + m_started.size() + m_ending.size();
   for (const auto& [id, program] : m_programs)
     count += program.waiting.size() + (program.active ? 1 : 0);
   return count;
 }
 
-std::vector<ProgramDelta> Home::Everything() const {
+std::vector<ProgramDelta> Coordinator::Everything() const {
   std::vector<ProgramDelta> deltas;
   for (const auto& [id, program] : m_programs)
     deltas.push_back(program.state.Whole());
   return deltas;
 }
 
-const ProgramState* Home::Find(const ProgramId& id) const {
+const ProgramState* Coordinator::Find(const ProgramId& id) const {
   const auto it = m_programs.find(id);
   return it == m_programs.end() ? nullptr : &it->second.state;
 }
 
-std::optional<ProgramPhase> Home::PhaseOf(const ProgramId& id) const {
+std::optional<ProgramPhase> Coordinator::PhaseOf(const ProgramId& id) const {
   const auto it = m_programs.find(id);
   if (it == m_programs.end()) return std::nullopt;
   return it->second.phase;
 }
 
-void Home::Log(LogEvent event, const Program& program, Sequence call,
-               std::string_view reason) {
+void Coordinator::Log(LogEvent event, const Program& program, Sequence call,
+                      std::string_view reason) {
   LogLine line;
   line.event = event;
   line.customer = program.state.meta.customer;
--- a/src/yuccawick/core/home.h
+++ b/src/yuccawick/core/coordinator.h
@@ -30,7 +30,7 @@
 
 namespace yuccawick::core {
 
-struct HomeSettings {
+struct CoordinatorSettings {
   Sequence window = 16;             // calls that may arrive ahead of order
   Duration durable_timeout = 3000;  // ms until an answer is refused as not
                                     // durable
@@ -42,7 +42,7 @@
   Duration keep_ended = 60000;      // ms an ended program is still known
 };
 
-class Home {
+class Coordinator {
  public:
   // What a home needs of its agent. All outlive the home.
   struct Parts {
@@ -54,8 +54,8 @@
     const RoutePolicy& routes;
     Outbox&            outbox;
   };
-  Home(NodeRef self, std::string model, HomeSettings settings,
-       Safeguards safeguards, Parts parts);
+  Coordinator(NodeRef self, std::string model, CoordinatorSettings settings,
+              Safeguards safeguards, Parts parts);
 
   // Callers, by way of an entry.
   void OnStart(const NodeRef& from, const StartProgram& start, Time now);
@@ -71,10 +71,10 @@
   // An order that has certainly not left this node.
   void OnUnsent(const Dispatch& dispatch, Time now);
   // The node no longer answers; what it was given may have run.
-  void OnPeerLost(const NodeRef& node, Time now);
+  void OnPeerUnreachable(const NodeRef& node, Time now);
 
   // The agent's other parts.
-  void OnHeld(Ticket ticket, Time now);
+  void OnDurable(Ticket ticket, Time now);
   void OnFunding(const std::string& customer, Time now);
   void OnTick(Time now);
 
@@ -171,8 +171,8 @@
 
   // Shared.
   void     Fire(Program* program, ProgramEvent event);
-  Ticket   HoldMeta(Program* program, Time now);
-  Ticket   HoldTurn(Program* program, const Turn& turn, Time now);
+  Ticket   MakeMetaDurable(Program* program, Time now);
+  Ticket   MakeTurnDurable(Program* program, const Turn& turn, Time now);
   Program* RootOf(Program* program);
   Tokens   WorstCase(const Program& program, const Call& call) const;
   NodeRef  Route(const Program& program, const Call& call) const;
@@ -189,12 +189,12 @@
   void Log(LogEvent event, const Program& program, Sequence call,
            std::string_view reason);
 
-  NodeRef      m_self;
-  std::string  m_model;
-  HomeSettings m_settings;
-  Safeguards   m_safeguards;
-  Parts        m_parts;
-  bool         m_draining = false;
+  NodeRef             m_self;
+  std::string         m_model;
+  CoordinatorSettings m_settings;
+  Safeguards          m_safeguards;
+  Parts               m_parts;
+  bool                m_draining = false;
 
   std::uint64_t                      m_minted = 0;
   std::map<ProgramId, Program>       m_programs;
--- a/src/yuccawick/core/home_calls.cc
+++ b/src/yuccawick/core/coordinator_calls.cc
@@ -2,7 +2,7 @@
 #include <cassert>
 #include <utility>
 
-#include "yuccawick/core/home.h"
+#include "yuccawick/core/coordinator.h"
 
 namespace yuccawick::core {
 
@@ -12,13 +12,13 @@
 
 // ---- Calls
 
-tl::expected<Home::Program*, Failure> Home::FindFor(
+tl::expected<Coordinator::Program*, Failure> Coordinator::FindFor(
     const ProgramId& id, const std::string& customer,
     const std::string& workspace) {
   const auto it = m_programs.find(id);
   if (it == m_programs.end()) {
-    const auto home = m_parts.control.Resolve(id.origin);
-    const bool elsewhere = home.node != m_self;
+    const auto coordinator = m_parts.control.Resolve(id.origin);
+    const bool elsewhere = coordinator.node != m_self;
     return tl::make_unexpected(
         Refuse(elsewhere ? Reason::kFenced : Reason::kUnknownProgram));
   }
@@ -29,7 +29,8 @@
   return &it->second;
 }
 
-void Home::OnCall(const NodeRef& from, const CallRequest& request, Time now) {
+void Coordinator::OnCall(const NodeRef& from, const CallRequest& request,
+                         Time now) {
   const Caller caller{from, request.request};
   const Call&  call = request.call;
   const auto   found = FindFor(call.program, call.customer, call.workspace);
@@ -44,8 +45,8 @@
   Advance(program, now);
 }
 
-bool Home::AnswerKnown(Program* program, const Caller& caller,
-                       const Call& call) {
+bool Coordinator::AnswerKnown(Program* program, const Caller& caller,
+                              const Call& call) {
   const auto attach = [&](const Call& known, std::vector<Caller>* callers) {
     if (!SameRequest(known, call)) {
       Reply(caller, tl::make_unexpected(Refuse(Reason::kSequenceReused)));
@@ -54,7 +55,7 @@
     if (std::find(callers->begin(), callers->end(), caller) == callers->end())
       callers->push_back(caller);
   };
-  if (!m_safeguards.Has(Safeguard::kHomeDedup)) return false;
+  if (!m_safeguards.Has(Safeguard::kCoordinatorDedup)) return false;
   if (program->active && program->active->call.sequence == call.sequence) {
     attach(program->active->call, &program->active->callers);
     return true;
@@ -74,8 +75,9 @@
   return true;
 }
 
-tl::expected<void, Failure> Home::CheckNew(const Program& program,
-                                           const Call& call, Time now) const {
+tl::expected<void, Failure> Coordinator::CheckNew(const Program& program,
+                                                  const Call&    call,
+                                                  Time           now) const {
   const auto refuse = [](Reason reason) {
     return tl::make_unexpected(Refuse(reason));
   };
@@ -95,7 +97,7 @@
   return {};
 }
 
-void Home::Advance(Program* program, Time now) {
+void Coordinator::Advance(Program* program, Time now) {
   if (program->phase != ProgramPhase::kIdle || program->waiting.empty()) return;
   auto       next = program->waiting.begin();
   const bool in_order = next->first == program->state.NextSequence();
@@ -112,7 +114,7 @@
   Fund(program, now);
 }
 
-void Home::Fund(Program* program, Time now) {
+void Coordinator::Fund(Program* program, Time now) {
   Active&                active = *program->active;
   const std::string&     customer = program->state.meta.customer;
   const ContractInForce* contract = m_parts.control.FindContract(customer);
@@ -139,7 +141,7 @@
   }
 }
 
-void Home::Record(Program* program, Time now) {
+void Coordinator::Record(Program* program, Time now) {
   Active& active = *program->active;
   active.since = now;
   active.executor = Route(*program, active.call);
@@ -150,8 +152,8 @@
   if (active.call.unrepeatable)
     program->state.meta.intent = {active.call, active.executor};
   Program* root = RootOf(program);
-  active.tickets.insert(HoldMeta(program, now));
-  if (root != program) active.tickets.insert(HoldMeta(root, now));
+  active.tickets.insert(MakeMetaDurable(program, now));
+  if (root != program) active.tickets.insert(MakeMetaDurable(root, now));
   for (const Ticket ticket : active.tickets)
     m_tickets[ticket] = program->state.meta.id;
   if (!m_safeguards.Has(Safeguard::kIntentFirst)) {
@@ -161,7 +163,7 @@
   }
 }
 
-void Home::Send(Program* program, Time now) {
+void Coordinator::Send(Program* program, Time now) {
   Active&            active = *program->active;
   const ProgramMeta& meta = program->state.meta;
   active.since = now;
@@ -193,7 +195,8 @@
 
 // ---- Outcomes
 
-void Home::OnDispatchChunk(const NodeRef& from, const DispatchChunk& chunk) {
+void Coordinator::OnDispatchChunk(const NodeRef&       from,
+                                  const DispatchChunk& chunk) {
   const auto it = m_dispatches.find(chunk.dispatch);
   if (it == m_dispatches.end()) return;
   const auto program = m_programs.find(it->second);
@@ -206,8 +209,8 @@
   }
 }
 
-void Home::OnDispatchReply(const NodeRef& from, const DispatchReply& reply,
-                           Time now) {
+void Coordinator::OnDispatchReply(const NodeRef&       from,
+                                  const DispatchReply& reply, Time now) {
   m_parts.membership.OnLoad(from, static_cast<Duration>(reply.load_ms),
                             reply.resident);
   const auto it = m_dispatches.find(reply.dispatch);
@@ -232,7 +235,7 @@
 }
 
 // The call did not run: everything reserved comes back.
-void Home::Refused(Program* program, Failure failure, Time now) {
+void Coordinator::Refused(Program* program, Failure failure, Time now) {
   Active active = std::move(*program->active);
   program->active.reset();
   for (const Ticket ticket : active.tickets) m_tickets.erase(ticket);
@@ -249,7 +252,7 @@
   Advance(program, now);
 }
 
-void Home::Failed(Program* program, Failure failure, Time now) {
+void Coordinator::Failed(Program* program, Failure failure, Time now) {
   if (failure.ran == Ran::kNo) return Refused(program, failure, now);
   const bool unrepeatable = program->active->call.unrepeatable;
   if (unrepeatable && m_safeguards.Has(Safeguard::kUnknownIsFinal)) {
@@ -274,8 +277,8 @@
   Refused(program, failure, now);
 }
 
-void Home::Settle(Program* program, const Answer& answer,
-                  const Failure* failure, Time now) {
+void Coordinator::Settle(Program* program, const Answer& answer,
+                         const Failure* failure, Time now) {
   Active&      active = *program->active;
   ProgramMeta& meta = program->state.meta;
   Program*     root = RootOf(program);
@@ -297,8 +300,8 @@
   meta.intent = {};
   meta.last_active = now;
   active.since = now;
-  active.tickets = {HoldTurn(program, turn, now)};
-  if (root != program) HoldMeta(root, now);
+  active.tickets = {MakeTurnDurable(program, turn, now)};
+  if (root != program) MakeMetaDurable(root, now);
   m_tickets[*active.tickets.begin()] = meta.id;
   Fire(program, ProgramEvent::kAnswered);
   if (m_safeguards.Has(Safeguard::kDurableAnswer)) return;
@@ -306,7 +309,7 @@
   Answered(program, now);
 }
 
-void Home::Answered(Program* program, Time now) {
+void Coordinator::Answered(Program* program, Time now) {
   Active active = std::move(*program->active);
   program->active.reset();
   Fire(program, ProgramEvent::kDurable);
@@ -319,7 +322,7 @@
   Advance(program, now);
 }
 
-void Home::OnHeld(Ticket ticket, Time now) {
+void Coordinator::OnDurable(Ticket ticket, Time now) {
   if (const auto it = m_started.find(ticket); it != m_started.end()) {
     const Start start = it->second;
     const auto  id = m_started_as.at(ticket);
@@ -352,7 +355,7 @@
   if (program->phase == ProgramPhase::kSettling) Answered(program, now);
 }
 
-void Home::OnFunding(const std::string& customer, Time now) {
+void Coordinator::OnFunding(const std::string& customer, Time now) {
   RetryStarts(customer, now);
   for (auto& [id, program] : m_programs) {
     const bool waits = program.phase == ProgramPhase::kFunding &&
@@ -361,7 +364,7 @@
   }
 }
 
-void Home::OnUnsent(const Dispatch& dispatch, Time now) {
+void Coordinator::OnUnsent(const Dispatch& dispatch, Time now) {
   const auto found = m_programs.find(dispatch.call.program);
   if (found == m_programs.end()) return;
   Program*   program = &found->second;
@@ -372,7 +375,7 @@
   Refused(program, Refuse(Reason::kBackendUnreachable), now);
 }
 
-void Home::OnPeerLost(const NodeRef& node, Time now) {
+void Coordinator::OnPeerUnreachable(const NodeRef& node, Time now) {
   for (auto& [id, program] : m_programs) {
     const bool waits = program.phase == ProgramPhase::kRunning &&
                        program.active->executor == node;
@@ -389,12 +392,12 @@
   }
 }
 
-bool Home::IsGivenUp(const NodeRef& node, Time now) const {
+bool Coordinator::IsGivenUp(const NodeRef& node, Time now) const {
   return m_parts.membership.IsReplaced(node) ||
          m_parts.membership.SilentFor(node, now) > m_settings.unknown_after;
 }
 
-void Home::OnTimeouts(Program* program, Time now) {
+void Coordinator::OnTimeouts(Program* program, Time now) {
   if (!program->active) return;
   Active&        active = *program->active;
   const Duration waited = now - active.since;
@@ -429,7 +432,7 @@
   }
 }
 
-void Home::DropLateWaiting(Program* program, Time now) {
+void Coordinator::DropLateWaiting(Program* program, Time now) {
   std::vector<Waiting> late;
   std::erase_if(program->waiting, [&](auto& entry) {
     if (now <= entry.second.call.deadline) return false;
@@ -441,8 +444,8 @@
   }
 }
 
-void Home::OnCancel(const NodeRef& from, const CancelRequest& cancel,
-                    Time /*now*/) {
+void Coordinator::OnCancel(const NodeRef& from, const CancelRequest& cancel,
+                           Time /*now*/) {
   const auto found = m_programs.find(cancel.program);
   if (found == m_programs.end()) return;
   Program&     program = found->second;
@@ -461,7 +464,7 @@
                       CancelDispatch{program.active->dispatch});
 }
 
-void Home::OnTick(Time now) {
+void Coordinator::OnTick(Time now) {
   for (auto& [id, program] : m_programs) {
     DropLateWaiting(&program, now);
     if (program.phase == ProgramPhase::kRunning &&
@@ -482,7 +485,7 @@
     const Caller caller = m_started.at(ticket).caller;
     Program*     program = &m_programs.at(m_started_as.at(ticket));
     Finish(program, now);
-    HoldMeta(program, now);
+    MakeMetaDurable(program, now);
     m_started.erase(ticket);
     m_started_as.erase(ticket);
     m_minted_for.erase(caller);
--- a/src/yuccawick/core/home_recovery.cc
+++ b/src/yuccawick/core/coordinator_recovery.cc
@@ -1,13 +1,13 @@
 #include <utility>
 
-#include "yuccawick/core/home.h"
+#include "yuccawick/core/coordinator.h"
 
 namespace yuccawick::core {
 
 // Programs taken over from another home.
 
-void Home::Adopt(const NodeRef& target, Offset fence,
-                 const std::vector<ProgramDelta>& deltas, Time now) {
+void Coordinator::Adopt(const NodeRef& target, Offset fence,
+                        const std::vector<ProgramDelta>& deltas, Time now) {
   for (const auto& delta : deltas) {
     Program& program = m_programs[delta.meta.id];
     program.state.Apply(delta);
@@ -26,10 +26,10 @@
   }
 }
 
-void Home::OnHistory(const NodeRef& target, const HistoryRecord& record,
-                     Time now) {
-  const auto owner = m_parts.control.Resolve(record.home);
-  if (owner.node != m_self || record.home == m_self) return;
+void Coordinator::OnHistory(const NodeRef& target, const HistoryRecord& record,
+                            Time now) {
+  const auto owner = m_parts.control.Resolve(record.coordinator);
+  if (owner.node != m_self || record.coordinator == m_self) return;
   for (const auto& delta : record.deltas) {
     const auto found = m_programs.find(delta.meta.id);
     if (found == m_programs.end()) {
@@ -47,18 +47,18 @@
   }
 }
 
-void Home::OnHistoryComplete(const NodeRef& target, Time now) {
+void Coordinator::OnHistoryComplete(const NodeRef& target, Time now) {
   for (auto& [id, program] : m_programs) {
     if (program.adopted_from != target) continue;
     program.adopted_from = {};
     program.state.meta.fence = program.fence;
-    m_parts.durability.Hold(program.state.Whole(), now);
+    m_parts.durability.MakeDurable(program.state.Whole(), now);
     if (program.phase == ProgramPhase::kRecovering)
       ResolveIntent(&program, now);
   }
 }
 
-void Home::ResolveIntent(Program* program, Time now) {
+void Coordinator::ResolveIntent(Program* program, Time now) {
   if (!program->adopted_from.vm.empty()) return;  // history not read yet
   const Intent& intent = program->state.meta.intent;
   const bool    settled =
@@ -93,8 +93,8 @@
                                 program->fence, active.executor});
 }
 
-void Home::OnFenceReply(const NodeRef& from, const FenceReply& reply,
-                        Time now) {
+void Coordinator::OnFenceReply(const NodeRef& from, const FenceReply& reply,
+                               Time now) {
   const auto found = m_programs.find(reply.program);
   if (found == m_programs.end()) return;
   Program*   program = &found->second;
@@ -127,7 +127,7 @@
   Settle(program, reply.answer, ok ? nullptr : &failure, now);
 }
 
-void Home::Recovered(Program* program, Time now) {
+void Coordinator::Recovered(Program* program, Time now) {
   program->active.reset();
   Fire(program, ProgramEvent::kRecovered);
   Advance(program, now);
--- a/src/yuccawick/core/durability.cc
+++ b/src/yuccawick/core/durability.cc
@@ -33,7 +33,7 @@
       m_outbox(outbox),
       m_on_held(std::move(on_held)) {}
 
-Ticket Durability::Hold(const ProgramDelta& delta, Time now) {
+Ticket Durability::MakeDurable(const ProgramDelta& delta, Time now) {
   const Ticket ticket = m_outbox.NextNumber();
   m_waiting.insert(ticket);
   const std::size_t bytes = SizeOf(delta);
@@ -105,7 +105,7 @@
 
 void Durability::OnReplicateReply(const NodeRef&        from,
                                   const ReplicateReply& reply, Time now) {
-  if (!reply.held) return;
+  if (!reply.stored) return;
   for (auto* links : {&m_candidates, &m_replicas}) {
     for (auto& link : *links) {
       if (link.node != from || link.unacked.erase(reply.batch) == 0) continue;
@@ -159,7 +159,7 @@
   if (m_append != 0 || m_unlogged.empty() || now < m_retry_at) return;
   m_last_flush = now;
   HistoryRecord record;
-  record.home = m_self;
+  record.coordinator = m_self;
   std::size_t bytes = 0;
   while (!m_unlogged.empty() && m_appending.size() < kMostPerAppend &&
          bytes < kMostBytesPerAppend) {
@@ -228,33 +228,33 @@
   ReplicateReply reply{replicate.batch, false};
   const bool     claimed = member != nullptr && member->IsClaimed();
   if (!claimed) {
-    Backup& backup = m_homes[from];
+    Backup& backup = m_coordinators[from];
     backup.updated = now;
     for (const auto& delta : replicate.deltas)
       backup.programs[delta.meta.id].Apply(delta);
-    reply.held = true;
+    reply.stored = true;
   }
   m_outbox.Send(from, reply);
 }
 
-std::vector<ProgramDelta> BackupStore::Take(const NodeRef& home) {
+std::vector<ProgramDelta> BackupStore::Take(const NodeRef& coordinator) {
   std::vector<ProgramDelta> deltas;
-  const auto                it = m_homes.find(home);
-  if (it == m_homes.end()) return deltas;
+  const auto                it = m_coordinators.find(coordinator);
+  if (it == m_coordinators.end()) return deltas;
   for (const auto& [id, state] : it->second.programs)
     deltas.push_back(state.Whole());
-  m_homes.erase(it);
+  m_coordinators.erase(it);
   return deltas;
 }
 
 void BackupStore::Forget(const NodeRef& self, Time now) {
-  for (auto& [home, backup] : m_homes) {
+  for (auto& [coordinator, backup] : m_coordinators) {
     std::erase_if(backup.programs, [now](const auto& entry) {
       const ProgramMeta& meta = entry.second.meta;
       return meta.ended && now - meta.last_active > kKeepEnded;
     });
   }
-  std::erase_if(m_homes, [&](const auto& entry) {
+  std::erase_if(m_coordinators, [&](const auto& entry) {
     const Member* member = m_control.FindMember(entry.first);
     if (member == nullptr) return false;
     if (member->IsClaimed()) return member->adopter != self;
@@ -266,7 +266,8 @@
 
 std::size_t BackupStore::ProgramCount() const {
   std::size_t count = 0;
-  for (const auto& [home, backup] : m_homes) count += backup.programs.size();
+  for (const auto& [coordinator, backup] : m_coordinators)
+    count += backup.programs.size();
   return count;
 }
 
--- a/src/yuccawick/core/durability.h
+++ b/src/yuccawick/core/durability.h
@@ -43,7 +43,7 @@
              Outbox& outbox, std::function<void(Ticket)> on_held);
 
   // Sets about holding a delta. Call order is kept towards the replica.
-  Ticket Hold(const ProgramDelta& delta, Time now);
+  Ticket MakeDurable(const ProgramDelta& delta, Time now);
 
   // Begins to copy to nodes that are to become the replicas: `everything`
   // first, each later delta after it. Those that are replicas already have it.
@@ -133,7 +133,7 @@
 
   void OnReplicate(const NodeRef& from, const Replicate& replicate, Time now);
   // Hands over everything held of `home` and forgets it.
-  std::vector<ProgramDelta> Take(const NodeRef& home);
+  std::vector<ProgramDelta> Take(const NodeRef& coordinator);
   // Forgets ended programs after a while, and homes that have been claimed by
   // others or have had another replica for a while.
   void                      Forget(const NodeRef& self, Time now);
@@ -146,7 +146,7 @@
   };
   const Control&            m_control;
   Outbox&                   m_outbox;
-  std::map<NodeRef, Backup> m_homes;
+  std::map<NodeRef, Backup> m_coordinators;
 };
 
 // Approximate size of a delta in memory and on the wire, bytes.
--- a/src/yuccawick/core/entry.cc
+++ b/src/yuccawick/core/entry.cc
@@ -56,9 +56,9 @@
 void Entry::On(const Tick& /*event*/, Time now) {
   m_tail.OnTick(now);
   m_membership.OnTick(now);
-  if (m_tail.LogIsDown() || !m_tail.HasState()) {
+  if (m_tail.IsLogUnavailable() || !m_tail.HasState()) {
     const NodeRef* ahead = m_membership.PeerAhead();
-    if (ahead != nullptr) m_tail.AskPeer(*ahead);
+    if (ahead != nullptr) m_tail.RequestSnapshot(*ahead);
   }
   std::vector<std::uint64_t> due;
   std::vector<std::uint64_t> late;
@@ -81,7 +81,7 @@
   for (const auto& [node, peer] : m_membership.peers()) {
     if (m_membership.IsSuspect(node)) lost.push_back(node);
   }
-  for (const auto& node : lost) LostHome(node, now);
+  for (const auto& node : lost) OnCoordinatorLost(node, now);
 }
 
 void Entry::On(const CallerMessage& event, Time now) {
@@ -153,7 +153,7 @@
 
 void Entry::On(const SendFailed& event, Time now) {
   m_membership.OnSendFailed(event.to, now);
-  LostHome(event.to, now);
+  OnCoordinatorLost(event.to, now);
 }
 
 void Entry::On(const ReadDone& event, Time now) { m_tail.OnRead(event, now); }
@@ -172,8 +172,8 @@
 
 // ---- Sending
 
-tl::expected<NodeRef, Failure> Entry::ChooseHome(const std::string& model,
-                                                 std::uint64_t request) const {
+tl::expected<NodeRef, Failure> Entry::ChooseCoordinator(
+    const std::string& model, std::uint64_t request) const {
   const Member* best = nullptr;
   bool          known = false;
   const auto    cost = [&](const Member& m) {
@@ -198,14 +198,14 @@
   if (!m_tail.HasState()) return tl::make_unexpected(Refuse(Reason::kNotReady));
   if (!pending.program.IsSet()) {
     const auto& start = std::get<StartProgram>(pending.message);
-    return ChooseHome(start.model, start.request);
+    return ChooseCoordinator(start.model, start.request);
   }
-  const auto home = m_control.Resolve(pending.program.origin);
-  if (m_control.FindMember(home.node) == nullptr)
+  const auto coordinator = m_control.Resolve(pending.program.origin);
+  if (m_control.FindMember(coordinator.node) == nullptr)
     return tl::make_unexpected(Refuse(Reason::kUnknownProgram));
-  if (m_membership.IsSuspect(home.node))
+  if (m_membership.IsSuspect(coordinator.node))
     return tl::make_unexpected(Refuse(Reason::kHomeUnreachable));
-  return home.node;
+  return coordinator.node;
 }
 
 void Entry::TrySend(std::uint64_t request, Time now) {
@@ -333,7 +333,7 @@
       now + m_retries.Wait(pending.attempts - 1, failure.retry_after);
 }
 
-void Entry::LostHome(const NodeRef& node, Time now) {
+void Entry::OnCoordinatorLost(const NodeRef& node, Time now) {
   for (auto& [request, pending] : m_pending) {
     if (pending.sent_to != node || pending.retry_at != 0) continue;
     // Sent again once there is a new home: homes tell a repeated sequence by
--- a/src/yuccawick/core/entry.h
+++ b/src/yuccawick/core/entry.h
@@ -76,8 +76,8 @@
   void TrySend(std::uint64_t request, Time now);
   // Where the request goes now; a failure if there is no such place.
   tl::expected<NodeRef, Failure> Target(const Pending& pending) const;
-  tl::expected<NodeRef, Failure> ChooseHome(const std::string& model,
-                                            std::uint64_t      request) const;
+  tl::expected<NodeRef, Failure> ChooseCoordinator(const std::string& model,
+                                                   std::uint64_t request) const;
   void                           Transmit(std::uint64_t request, Time now);
   void                           Park(std::uint64_t request, Time now);
   void                           GiveUp(std::uint64_t request, Failure failure);
@@ -85,7 +85,7 @@
   void     OnChunk(const NodeRef& from, const CallChunk& chunk, Time now);
   void     OnReply(const NodeRef& from, std::uint64_t request, bool ok,
                    const Failure& failure, const Message& reply, Time now);
-  void     LostHome(const NodeRef& node, Time now);
+  void     OnCoordinatorLost(const NodeRef& node, Time now);
   Pending* FindFrom(const NodeRef& from, std::uint64_t request);
   static Message FailureReply(const Message& request_message,
                               std::uint64_t request, const Failure& failure);
--- a/src/yuccawick/core/executor.cc
+++ b/src/yuccawick/core/executor.cc
@@ -40,7 +40,7 @@
 
 // ---- Orders
 
-void Executor::Refuse(const NodeRef& home, const Dispatch& dispatch,
+void Executor::Refuse(const NodeRef& coordinator, const Dispatch& dispatch,
                       Failure failure) {
   m_outbox.Refused(failure.reason);
   DispatchReply reply;
@@ -48,7 +48,7 @@
   reply.failure = failure;
   reply.load_ms = static_cast<std::uint64_t>(LoadMs());
   reply.resident = ResidentTokens();
-  m_outbox.Send(home, reply);
+  m_outbox.Send(coordinator, reply);
 }
 
 bool Executor::IsFencedOff(const Dispatch& dispatch) const {
@@ -96,7 +96,7 @@
   if (it == m_entries.end()) return false;
   Entry&     entry = it->second;
   const bool repeated =
-      entry.home == from && dispatch.dispatch <= entry.order.dispatch;
+      entry.coordinator == from && dispatch.dispatch <= entry.order.dispatch;
   const bool finished = entry.phase == CallPhase::kDone;
   // A new attempt at a call that may be repeated runs again.
   if (finished && !repeated && !dispatch.call.unrepeatable) return false;
@@ -105,13 +105,13 @@
       !entry.reply.ok)
     return false;
   if (!repeated) {
-    entry.home = from;
+    entry.coordinator = from;
     entry.order.dispatch = dispatch.dispatch;
     entry.order.fence = dispatch.fence;
   }
   if (!finished) return true;
   entry.reply.dispatch = entry.order.dispatch;
-  m_outbox.Send(entry.home, entry.reply);
+  m_outbox.Send(entry.coordinator, entry.reply);
   return true;
 }
 
@@ -119,7 +119,7 @@
                        Time now) {
   const CallKey key{dispatch.call.program, dispatch.call.sequence};
   Entry         entry;
-  entry.home = from;
+  entry.coordinator = from;
   entry.order = dispatch;
   entry.arrived = now;
   const Duration wait = WaitAhead(entry, now);
@@ -149,7 +149,8 @@
 void Executor::OnCancel(const NodeRef& from, const CancelDispatch& cancel,
                         Time now) {
   for (auto& [key, entry] : m_entries) {
-    if (entry.home != from || entry.order.dispatch != cancel.dispatch) continue;
+    if (entry.coordinator != from || entry.order.dispatch != cancel.dispatch)
+      continue;
     if (entry.phase == CallPhase::kQueued) {
       DispatchReply reply;
       reply.failure = core::Refuse(Reason::kCancelled);
@@ -226,8 +227,8 @@
   const auto it = m_runs.find(chunk.run);
   if (it == m_runs.end()) return;
   Entry& entry = m_entries.at(it->second);
-  m_outbox.Send(entry.home, DispatchChunk{entry.order.dispatch, entry.position,
-                                          chunk.text});
+  m_outbox.Send(entry.coordinator, DispatchChunk{entry.order.dispatch,
+                                                 entry.position, chunk.text});
   entry.position += chunk.text.size();
 }
 
@@ -265,7 +266,7 @@
   entry.reply = reply;
   // The answer of a repeatable call is not needed again; the prompt never.
   entry.order.prompt.clear();
-  m_outbox.Send(entry.home, std::move(reply));
+  m_outbox.Send(entry.coordinator, std::move(reply));
   if (!entry.order.call.unrepeatable) entry.reply.answer.text.clear();
 }
 
--- a/src/yuccawick/core/executor.h
+++ b/src/yuccawick/core/executor.h
@@ -67,7 +67,7 @@
  private:
   using CallKey = std::pair<ProgramId, Sequence>;
   struct Entry {
-    NodeRef       home;  // who is told the outcome
+    NodeRef       coordinator;  // who is told the outcome
     Dispatch      order;
     CallPhase     phase = CallPhase::kQueued;
     Time          arrived = 0;
@@ -82,7 +82,8 @@
     Time   used = 0;
   };
 
-  void Refuse(const NodeRef& home, const Dispatch& dispatch, Failure failure);
+  void Refuse(const NodeRef& coordinator, const Dispatch& dispatch,
+              Failure failure);
   bool IsFencedOff(const Dispatch& dispatch) const;
   // True if the call was known already and has been dealt with.
   bool AnswerKnown(const NodeRef& from, const Dispatch& dispatch,
--- a/src/yuccawick/core/membership.cc
+++ b/src/yuccawick/core/membership.cc
@@ -38,7 +38,7 @@
 
 Peer& Membership::PeerOf(const NodeRef& node, Time now) {
   const auto [it, added] = m_peers.try_emplace(node);
-  if (added) it->second.heard = now;
+  if (added) it->second.last_received = now;
   return it->second;
 }
 
@@ -51,13 +51,13 @@
     Peer& peer = PeerOf(node, now);
     // A peer that was not watched may not have been heard for long, though it
     // is well. Judged by that, it would be claimed the moment it is watched.
-    if (!before.contains(node)) peer.heard = now;
+    if (!before.contains(node)) peer.last_received = now;
   }
 }
 
 void Membership::OnMessage(const NodeRef& from, Time now) {
   Peer& peer = PeerOf(from, now);
-  peer.heard = now;
+  peer.last_received = now;
   Fire(&peer, PeerEvent::kHeard);
 }
 
@@ -133,8 +133,8 @@
 void Membership::Probe(const NodeRef& node, bool paused, Time now) {
   Peer& peer = PeerOf(node, now);
   if (peer.phase == PeerPhase::kGone) return;
-  if (paused) peer.heard = std::max(peer.heard, now);
-  if (now - peer.heard > m_settings.suspect_after)
+  if (paused) peer.last_received = std::max(peer.last_received, now);
+  if (now - peer.last_received > m_settings.suspect_after)
     Fire(&peer, PeerEvent::kSilent);
   if (now - peer.probed < m_settings.probe_interval) return;
   peer.probed = now;
@@ -144,7 +144,7 @@
 void Membership::KeepWatched(const NodeRef& node, Time now) {
   const bool fresh = !m_waited_for.contains(node) && !m_watched.contains(node);
   Peer&      peer = PeerOf(node, now);
-  if (fresh) peer.heard = now;
+  if (fresh) peer.last_received = now;
   m_waited_for[node] = now + m_settings.probe_interval;
 }
 
@@ -180,10 +180,10 @@
   const auto it = m_peers.find(node);
   const bool suspect =
       it != m_peers.end() && it->second.phase == PeerPhase::kSuspect;
-  return suspect ? now - it->second.heard : 0;
+  return suspect ? now - it->second.last_received : 0;
 }
 
-bool Membership::IsLost(const NodeRef& node, Time now) const {
+bool Membership::IsPresumedDead(const NodeRef& node, Time now) const {
   // One broken connection makes a peer suspect; only lasting silence, watched
   // from here, is reason enough to take its programs over.
   return IsReplaced(node) || SilentFor(node, now) > m_settings.suspect_after;
--- a/src/yuccawick/core/membership.h
+++ b/src/yuccawick/core/membership.h
@@ -26,10 +26,10 @@
 
 struct Peer {
   PeerPhase phase = PeerPhase::kUnknown;
-  Time      heard = 0;     // last message from it
-  Time      probed = 0;    // last probe sent
-  Duration  load = 0;      // ms a new call would wait there, as last told
-  Tokens    resident = 0;  // tokens of the prefixes there, as last told
+  Time      last_received = 0;  // last message from it
+  Time      probed = 0;         // last probe sent
+  Duration  load = 0;           // ms a new call would wait there, as last told
+  Tokens    resident = 0;       // tokens of the prefixes there, as last told
   Offset    control_version = kNoOffset;
 };
 
@@ -55,16 +55,16 @@
   void OnTick(Time now);
 
   // May be given new work: not suspect, leaving, gone or claimed.
-  bool                           IsUsable(const NodeRef& node) const;
-  bool                           IsSuspect(const NodeRef& node) const;
+  bool     IsUsable(const NodeRef& node) const;
+  bool     IsSuspect(const NodeRef& node) const;
   // Its VM has gone or runs a later incarnation.
-  bool                           IsReplaced(const NodeRef& node) const;
+  bool     IsReplaced(const NodeRef& node) const;
   // How long it has been silent, ms; 0 unless it is suspect.
-  Duration                       SilentFor(const NodeRef& node, Time now) const;
+  Duration SilentFor(const NodeRef& node, Time now) const;
   // Certainly replaced, or silent for long enough to be claimed.
-  bool                           IsLost(const NodeRef& node, Time now) const;
-  Duration                       LoadOf(const NodeRef& node) const;
-  Tokens                         ResidentOf(const NodeRef& node) const;
+  bool     IsPresumedDead(const NodeRef& node, Time now) const;
+  Duration LoadOf(const NodeRef& node) const;
+  Tokens   ResidentOf(const NodeRef& node) const;
   const std::map<NodeRef, Peer>& peers() const { return m_peers; }
   // A peer whose control state is ahead of ours, if any.
   const NodeRef*                 PeerAhead() const;
--- a/src/yuccawick/core/messages.h
+++ b/src/yuccawick/core/messages.h
@@ -237,12 +237,12 @@
 
 struct ReplicateReply {
   std::uint64_t batch = 0;
-  bool          held = false;  // false: the sender has been replaced
+  bool          stored = false;  // false: the sender has been replaced
 
   template <class V>
   void Visit(V& v) {
     v("batch", batch);
-    v("held", held);
+    v("held", stored);
   }
 };
 
--- a/src/yuccawick/core/records.h
+++ b/src/yuccawick/core/records.h
@@ -45,12 +45,12 @@
 // From here on `replicas` are the only nodes that may claim `home`. Each of
 // them already holds everything the home has acknowledged.
 struct ReplicaRecord {
-  NodeRef              home;
+  NodeRef              coordinator;
   std::vector<NodeRef> replicas;
 
   template <class V>
   void Visit(V& v) {
-    v("home", home);
+    v("home", coordinator);
     v("replicas", replicas);
   }
 };
@@ -94,12 +94,12 @@
 
 // Finished calls of programs homed at `home`.
 struct HistoryRecord {
-  NodeRef                   home;
+  NodeRef                   coordinator;
   std::vector<ProgramDelta> deltas;
 
   template <class V>
   void Visit(V& v) {
-    v("home", home);
+    v("home", coordinator);
     v("deltas", deltas);
   }
 };
--- a/src/yuccawick/core/safeguards.h
+++ b/src/yuccawick/core/safeguards.h
@@ -14,7 +14,7 @@
   kCallOrder,          // calls wait for their predecessors
   kWorkspaceCheck,     // a program is served to its own workspace only
   kDurableAnswer,      // an answer waits until its turn is held twice
-  kHomeDedup,          // a finished sequence is answered from its turn
+  kCoordinatorDedup,   // a finished sequence is answered from its turn
   kReplicaClaimsOnly,  // only the assigned replica may claim
   kIntentFirst,        // unrepeatable calls are recorded before they are sent
   kExecutorFence,      // orders below the highest fence are refused
--- a/src/yuccawick/core/scheduling.cc
+++ b/src/yuccawick/core/scheduling.cc
@@ -75,7 +75,7 @@
 int StickyRoute::Choose(const RouteRequest& /*request*/,
                         const std::vector<RouteCandidate>& candidates) const {
   return Cheapest(candidates, [](const RouteCandidate& c) {
-    return c.is_home ? -1.0 : static_cast<double>(c.wait);
+    return c.is_coordinator ? -1.0 : static_cast<double>(c.wait);
   });
 }
 
@@ -88,7 +88,7 @@
   return Cheapest(candidates, [&](const RouteCandidate& c) {
     const auto missing =
         static_cast<double>(std::max<Tokens>(0, request.prompt - c.cached));
-    const Duration reluctance = c.is_home ? 0 : m_reluctance;
+    const Duration reluctance = c.is_coordinator ? 0 : m_reluctance;
     const double   crowd =
         m_crowding * static_cast<double>(c.resident) / kCrowdUnit;
     return static_cast<double>(c.wait + reluctance) + crowd +
--- a/src/yuccawick/core/scheduling.h
+++ b/src/yuccawick/core/scheduling.h
@@ -63,11 +63,11 @@
 };
 
 struct RouteCandidate {
-  bool     usable = true;    // alive and not leaving
-  Duration wait = 0;         // ms a new call would wait there
-  Tokens   cached = 0;       // tokens of its prompt likely cached there
-  Tokens   resident = 0;     // tokens of all prefixes leased there
-  bool     is_home = false;  // the program's own server
+  bool     usable = true;           // alive and not leaving
+  Duration wait = 0;                // ms a new call would wait there
+  Tokens   cached = 0;              // tokens of its prompt likely cached there
+  Tokens   resident = 0;            // tokens of all prefixes leased there
+  bool     is_coordinator = false;  // the program's own server
 };
 
 struct RouteRequest {
--- a/src/yuccawick/daemon/agent_main.cc
+++ b/src/yuccawick/daemon/agent_main.cc
@@ -126,9 +126,9 @@
     json.set("control_version", m_agent.control().version());
     json.set("contracts", m_agent.control().contracts().size());
     json.set("replicas", replicas);
-    json.set("programs", m_agent.home().ProgramCount());
+    json.set("programs", m_agent.coordinator().ProgramCount());
     json.set("backed_up_programs", m_agent.backups().ProgramCount());
-    json.set("in_flight", m_agent.home().InFlight());
+    json.set("in_flight", m_agent.coordinator().InFlight());
     json.set("queued", m_agent.executor().QueueLength());
     json.set("running", m_agent.executor().RunningCount());
     json.set("prefixes", m_agent.executor().PrefixCount());
--- a/tests/budget_test.cc
+++ b/tests/budget_test.cc
@@ -15,7 +15,7 @@
 
 core::Tokens SpentAtEngines(SmallGroup& s) {
   core::Tokens total = 0;
-  for (const auto& vm : {kHomeA, kHomeB, kHomeC})
+  for (const auto& vm : {kCoordinatorA, kCoordinatorB, kCoordinatorC})
     total += s.group.backend(vm).TokensOf("sakhli");
   return total;
 }
@@ -103,10 +103,10 @@
   for (core::Sequence i = 1; i <= 3; ++i) {
     s.group.Call("entry-a", s.group.ModelCall(s.program, i, kLongBody));
     s.group.Advance(60);
-    const std::string home = s.HomeNow();
-    s.group.Kill(home);
+    const std::string coordinator = s.CurrentCoordinator();
+    s.group.Kill(coordinator);
     s.group.Advance(6000);
-    s.group.Restart(home);
+    s.group.Restart(coordinator);
     s.group.Advance(6000);
   }
   cr_assert_leq(SpentAtEngines(s), 500);
@@ -130,10 +130,11 @@
   SmallGroup s;
   SetBudget(s, 100'000, 100'000);
   SpendAll(s, 6, 1);
-  const std::string cut = kHomeA;
+  const std::string cut = kCoordinatorA;
   const auto        slice =
       s.group.agent(cut).budget().AvailableOf("sakhli", Resource::kTokens);
-  for (const auto& vm : {kHomeB, kHomeC, kDesk1, kDesk2}) s.group.Cut(cut, vm);
+  for (const auto& vm : {kCoordinatorB, kCoordinatorC, kDesk1, kDesk2})
+    s.group.Cut(cut, vm);
   s.group.CutLog(cut, true);
   const core::Tokens before = SpentAtEngines(s);
   SetBudget(s, 1000, 1000);
--- a/tests/configuration_test.cc
+++ b/tests/configuration_test.cc
@@ -12,7 +12,8 @@
 using core::Safeguard;
 using core::Safeguards;
 
-const std::vector<std::string> kAgents{kHomeA, kHomeB, kHomeC, kDesk1, kDesk2};
+const std::vector<std::string> kAgents{kCoordinatorA, kCoordinatorB,
+                                       kCoordinatorC, kDesk1, kDesk2};
 
 std::int64_t TurnsAt(SmallGroup& s, const std::string& agent) {
   const auto* contract = s.group.agent(agent).control().FindContract("sakhli");
@@ -27,18 +28,20 @@
 
 bool LateRecordChangesNothing(Safeguards safeguards) {
   SmallGroup              s(safeguards);
-  const core::ControlPush late{s.group.agent(kHomeB).control().Snapshot()};
+  const core::ControlPush late{
+      s.group.agent(kCoordinatorB).control().Snapshot()};
   s.group.Publish(WithTurns(77));
   s.group.Advance(2000);
-  if (TurnsAt(s, kHomeA) != 77) return false;
+  if (TurnsAt(s, kCoordinatorA) != 77) return false;
   // A peer's state of long ago arrives now, for the first or for the third
   // time.
   for (int i = 0; i < 3; ++i) {
-    s.group.Inject(kHomeA,
-                   core::MessageReceived{s.group.agent(kHomeB).self(),
-                                         s.group.agent(kHomeA).self(), late});
+    s.group.Inject(
+        kCoordinatorA,
+        core::MessageReceived{s.group.agent(kCoordinatorB).self(),
+                              s.group.agent(kCoordinatorA).self(), late});
   }
-  return TurnsAt(s, kHomeA) == 77;
+  return TurnsAt(s, kCoordinatorA) == 77;
 }
 
 Test(Configuration, OlderRecordsComeLateAndAgain_DoesNotRevert) {
@@ -83,7 +86,8 @@
   s.group.Advance(2000);
   const bool told = !lost && lost.error().reason == Reason::kConflict &&
                     lost.error().ran == core::Ran::kNo;
-  return told && TurnsAt(s, kHomeA) == 22 && TurnsAt(s, kHomeB) == 22;
+  return told && TurnsAt(s, kCoordinatorA) == 22 &&
+         TurnsAt(s, kCoordinatorB) == 22;
 }
 
 Test(Configuration, TwoOperatorsAmendAtOnce_OneGetsAConflict) {
@@ -102,7 +106,7 @@
   const auto published = op.Publish(WithTurns(33), nullptr);
   cr_assert(published.has_value());
   s.group.Advance(2000);
-  cr_assert_eq(TurnsAt(s, kHomeA), 33);
+  cr_assert_eq(TurnsAt(s, kCoordinatorA), 33);
 }
 
 Test(Configuration, LogDown_OperatorIsToldThatNothingHappened) {
--- a/tests/fixture.h
+++ b/tests/fixture.h
@@ -16,9 +16,9 @@
 
 constexpr core::Duration kLong = 60'000;  // ms, ample for any recovery
 
-inline const std::string kHomeA = "model-a";
-inline const std::string kHomeB = "model-b";
-inline const std::string kHomeC = "model-c";
+inline const std::string kCoordinatorA = "model-a";
+inline const std::string kCoordinatorB = "model-b";
+inline const std::string kCoordinatorC = "model-c";
 inline const std::string kDesk1 = "app-a";
 inline const std::string kDesk2 = "app-b";
 
@@ -28,9 +28,9 @@
       : group(Settings(safeguards, seed, replicas)) {
     group.AddEntry("entry-a", "saburtalo");
     group.AddEntry("entry-b", "gldani");
-    group.AddAgent(kHomeA, "saburtalo", core::BackendKind::kModel, "m");
-    group.AddAgent(kHomeB, "gldani", core::BackendKind::kModel, "m");
-    group.AddAgent(kHomeC, "isani", core::BackendKind::kModel, "m");
+    group.AddAgent(kCoordinatorA, "saburtalo", core::BackendKind::kModel, "m");
+    group.AddAgent(kCoordinatorB, "gldani", core::BackendKind::kModel, "m");
+    group.AddAgent(kCoordinatorC, "isani", core::BackendKind::kModel, "m");
     group.AddAgent(kDesk1, "saburtalo", core::BackendKind::kService, "booking");
     group.AddAgent(kDesk2, "gldani", core::BackendKind::kService, "booking");
     group.Publish(Group::DefaultContract("sakhli"));
@@ -52,18 +52,18 @@
     program = started.value_or(core::ProgramId{});
     return program;
   }
-  std::string              Home() const { return program.origin.vm; }
+  std::string              Coordinator() const { return program.origin.vm; }
   // The VMs that back the home up.
   std::vector<std::string> Replicas() {
     std::vector<std::string> names;
-    for (const auto& node : group.agent(Home()).durability().Replicas())
+    for (const auto& node : group.agent(Coordinator()).durability().Replicas())
       names.push_back(node.vm);
     return names;
   }
   // The one of them that will take over if only it can reach the log.
   std::string Replica() { return Replicas().front(); }
   // Where the program lives now, as some entry sees it.
-  std::string HomeNow() {
+  std::string CurrentCoordinator() {
     return group.entry("entry-b").control().Resolve(program.origin).node.vm;
   }
   bool IsBusy(const std::string& vm) {
--- a/tests/history_test.cc
+++ b/tests/history_test.cc
@@ -43,13 +43,13 @@
   return copy ? Fate::kLose : Fate::kDeliver;
 }
 
-bool AnswerSurvivesHome(Safeguards safeguards) {
+bool AnswerSurvivesCoordinator(Safeguards safeguards) {
   SmallGroup s(safeguards);
   s.Start();
   s.group.SetFilter(LoseReplication);
   const auto reply =
       s.group.CallNow("entry-a", s.group.ModelCall(s.program, 1, "draft"));
-  s.group.Kill(s.Home());
+  s.group.Kill(s.Coordinator());
   s.group.SetFilter({});
   return reply.ok &&
          HasTurn(ReadHistory(s, "entry-b", "w1"), 1, reply.answer.text);
@@ -59,9 +59,9 @@
   // The caller has its answer and finds it in the history afterwards. The copy
   // to the replica is lost and the home dies at once. With the safeguard the
   // answer waited for the log instead; without it the answer is gone.
-  cr_assert_not(
-      AnswerSurvivesHome(Safeguards::Without(Safeguard::kDurableAnswer)));
-  cr_assert(AnswerSurvivesHome(Safeguards::All()));
+  cr_assert_not(AnswerSurvivesCoordinator(
+      Safeguards::Without(Safeguard::kDurableAnswer)));
+  cr_assert(AnswerSurvivesCoordinator(Safeguards::All()));
 }
 
 Test(History, HomeKilledBeforeAnswer_HasTheCallOnce) {
@@ -75,7 +75,7 @@
   const auto request =
       s.group.Call("entry-a", s.group.ModelCall(s.program, 2, "two"));
   s.group.Advance(30);
-  s.group.Kill(s.Home());
+  s.group.Kill(s.Coordinator());
   cr_assert(
       s.group.AdvanceUntil([&] { return s.group.IsAnswered(request); }, kLong));
   cr_assert(std::get<core::CallReply>(*s.group.AnswerTo(request)).ok);
@@ -93,13 +93,14 @@
       s.group.CallNow("entry-a", s.group.ModelCall(s.program, 1, "draft"));
   const auto replicas = s.Replicas();
   for (const auto& replica : replicas) s.group.CutLog(replica, true);
-  s.group.Kill(s.Home());
+  s.group.Kill(s.Coordinator());
   // Some other node that hears nothing from the home claims it.
   std::string other;
-  for (const auto& vm : {kHomeA, kHomeB, kHomeC, std::string("model-d")}) {
+  for (const auto& vm :
+       {kCoordinatorA, kCoordinatorB, kCoordinatorC, std::string("model-d")}) {
     const bool replica =
         std::find(replicas.begin(), replicas.end(), vm) != replicas.end();
-    if (vm != s.Home() && !replica) other = vm;
+    if (vm != s.Coordinator() && !replica) other = vm;
   }
   s.group.log().Append(
       {0,
@@ -134,7 +135,7 @@
     cr_assert(reply.ok, "%s", core::Name(reply.failure.reason).data());
     answers.push_back(reply.answer.text);
   }
-  s.group.Kill(s.Home());
+  s.group.Kill(s.Coordinator());
   s.group.Advance(20'000);
   s.group.log().SetMode(LogMode::kUp);
   s.group.Advance(10'000);
@@ -152,7 +153,7 @@
   s.group.log().SetMode(LogMode::kDown);
   const auto request =
       s.group.Call("entry-a", s.group.ModelCall(s.program, 2, "two"));
-  s.group.AdvanceUntil([&] { return s.IsBusy(s.Home()); }, 1000);
+  s.group.AdvanceUntil([&] { return s.IsBusy(s.Coordinator()); }, 1000);
   s.group.Kill(s.Replica());
   cr_assert(
       s.group.AdvanceUntil([&] { return s.group.IsAnswered(request); }, kLong));
@@ -173,7 +174,7 @@
   const auto reply =
       s.group.CallNow("entry-a", s.group.ModelCall(s.program, 1, "draft"));
   const std::string replica = s.Replica();
-  s.group.Kill(s.Home());
+  s.group.Kill(s.Coordinator());
   s.group.Kill(replica);
   return HasTurn(ReadHistory(s, "entry-b", "w1"), 1, reply.answer.text);
 }
@@ -195,11 +196,11 @@
   s.Start();
   const auto one =
       s.group.CallNow("entry-a", s.group.ModelCall(s.program, 1, "one"));
-  s.group.Kill(s.Home());
+  s.group.Kill(s.Coordinator());
   const auto two = s.group.CallThrough(
       {"entry-b"}, s.group.ModelCall(s.program, 2, "two"), kLong);
   cr_assert(two.ok);
-  s.group.Kill(s.HomeNow());
+  s.group.Kill(s.CurrentCoordinator());
   const auto three = s.group.CallThrough(
       {"entry-a"}, s.group.ModelCall(s.program, 3, "three"), kLong);
   cr_assert(three.ok, "%s", core::Name(three.failure.reason).data());
@@ -253,10 +254,11 @@
     auto call = s.group.ServiceCall(s.program, i, long_text);
     cr_assert(s.group.CallNow("entry-a", call).ok);
   }
-  cr_assert_gt(s.group.agent(s.Home()).durability().UnloggedBytes(), 3U << 20U);
+  cr_assert_gt(s.group.agent(s.Coordinator()).durability().UnloggedBytes(),
+               3U << 20U);
   s.group.log().SetMode(LogMode::kUp);
   s.group.Advance(7000);
-  cr_assert_eq(s.group.agent(s.Home()).durability().UnloggedBytes(), 0);
+  cr_assert_eq(s.group.agent(s.Coordinator()).durability().UnloggedBytes(), 0);
 }
 
 bool WorkspacesStayApart(Safeguards safeguards) {
@@ -297,13 +299,13 @@
   s.Start();
   const auto request =
       s.group.Call("entry-a", s.group.ModelCall(s.program, 1, "one"));
-  s.group.AdvanceUntil([&] { return s.IsBusy(s.Home()); }, 1000);
-  s.group.Freeze(s.Home());
+  s.group.AdvanceUntil([&] { return s.IsBusy(s.Coordinator()); }, 1000);
+  s.group.Freeze(s.Coordinator());
   cr_assert(
       s.group.AdvanceUntil([&] { return s.group.IsAnswered(request); }, kLong));
-  s.group.Thaw(s.Home());
+  s.group.Thaw(s.Coordinator());
   s.group.Advance(10'000);
-  cr_assert_not(s.group.IsRunning(s.Home()));
+  cr_assert_not(s.group.IsRunning(s.Coordinator()));
   const auto history = ReadHistory(s, "entry-b", "w1");
   cr_assert_eq(history->turns.size(), 1);
   cr_assert_eq(s.group.AnswerCount(request), 1);
--- a/tests/membership_test.cc
+++ b/tests/membership_test.cc
@@ -20,10 +20,10 @@
   s.group.log().SetMode(LogMode::kUp);
   s.group.Thaw(replica);
   s.group.Advance(10'000);
-  return s.group.IsRunning(s.Home());
+  return s.group.IsRunning(s.Coordinator());
 }
 
-Test(Membership, NodeWakesFromAPause_ClaimsNoHealthyHome) {
+Test(Membership, NodeWakesFromAPause_ClaimsNoHealthyCoordinator) {
   // Callers see nothing. To a node that was paused all its peers look silent;
   // it gives them a fresh chance instead of taking their programs over.
   cr_assert_not(
@@ -47,29 +47,30 @@
     cr_assert(group.IsRunning("model-" + std::to_string(i)));
 }
 
-Test(Membership, OneConnectionBreaks_HomeIsNotClaimed) {
+Test(Membership, OneConnectionBreaks_CoordinatorIsNotClaimed) {
   SmallGroup s;
   s.Start();
   s.group.Inject(s.Replica(), core::SendFailed{s.program.origin, {}});
   s.group.Advance(5000);
-  cr_assert(s.group.IsRunning(s.Home()));
-  cr_assert_eq(s.HomeNow(), s.Home());
+  cr_assert(s.group.IsRunning(s.Coordinator()));
+  cr_assert_eq(s.CurrentCoordinator(), s.Coordinator());
 }
 
 Test(Membership, HomeAndReplicaCutFromEachOther_OneOwnerRemains) {
-  // The caller sees its calls answered by one owner. Home and replica cannot
-  // reach each other but both reach the log; the claim there ends the old home.
+  // The caller sees its calls answered by one owner. Coordinator and replica
+  // cannot reach each other but both reach the log; the claim there ends the
+  // old home.
   SmallGroup s;
   s.Start();
-  const std::string home = s.Home();
+  const std::string coordinator = s.Coordinator();
   const std::string replica = s.Replica();
-  s.group.Cut(home, replica);
+  s.group.Cut(coordinator, replica);
   s.group.Advance(8000);
   const auto reply = s.group.CallThrough(
       {"entry-a", "entry-b"}, s.group.ModelCall(s.program, 1, "one"), kLong);
   cr_assert(reply.ok, "%s", core::Name(reply.failure.reason).data());
-  const bool claimed = s.HomeNow() != home;
-  cr_assert_eq(s.group.IsRunning(home), !claimed);
+  const bool claimed = s.CurrentCoordinator() != coordinator;
+  cr_assert_eq(s.group.IsRunning(coordinator), !claimed);
 }
 
 Test(Membership, ReplicaDies_AnotherIsAssigned) {
@@ -78,7 +79,7 @@
   const std::string first = s.Replica();
   s.group.Kill(first);
   cr_assert(s.group.AdvanceUntil([&] { return s.Replica() != first; }, kLong));
-  cr_assert_neq(s.Replica(), s.Home());
+  cr_assert_neq(s.Replica(), s.Coordinator());
 }
 
 Test(Membership, TwoAgentsClaimAtOnce_FirstInLogOrderOwns) {
--- a/tests/memory_test.cc
+++ b/tests/memory_test.cc
@@ -11,7 +11,7 @@
 
 std::size_t Held(SmallGroup& s) {
   std::size_t held = 0;
-  for (const auto& vm : {kHomeA, kHomeB, kHomeC})
+  for (const auto& vm : {kCoordinatorA, kCoordinatorB, kCoordinatorC})
     held += s.group.backend(vm).prefixes_held();
   return held;
 }
@@ -55,8 +55,8 @@
   // prefix's lease there is not renewed and runs out.
   SmallGroup s;
   s.Start();
-  const std::string home = s.Home();
-  s.group.backend(home).Hold(true);
+  const std::string coordinator = s.Coordinator();
+  s.group.backend(coordinator).Hold(true);
   for (int i = 0; i < 40; ++i) {
     // Fill the home's engine so that the program's call runs elsewhere.
     const auto other = s.group.StartNow("entry-a", "sakhli", "w1");
@@ -67,9 +67,9 @@
   }
   s.group.Advance(100);
   s.group.CallNow("entry-a", s.group.ModelCall(s.program, 1, "one"));
-  s.group.backend(home).Hold(false);
+  s.group.backend(coordinator).Hold(false);
   s.group.Advance(1000);
-  cr_assert_eq(s.group.backend(home).EffectsOf({s.program, 1}), 0);
+  cr_assert_eq(s.group.backend(coordinator).EffectsOf({s.program, 1}), 0);
   s.group.SetFilter([](const core::NodeRef&, const core::SendMessage& send) {
     const bool release =
         std::holds_alternative<core::ReleaseCache>(send.message);
@@ -86,12 +86,12 @@
   SmallGroup s;
   s.Start();
   s.group.CallNow("entry-a", s.group.ModelCall(s.program, 1, "one"));
-  const std::string home = s.Home();
-  s.group.Kill(home);
-  cr_assert_eq(s.group.backend(home).prefixes_held(), 1);
-  s.group.Restart(home);
+  const std::string coordinator = s.Coordinator();
+  s.group.Kill(coordinator);
+  cr_assert_eq(s.group.backend(coordinator).prefixes_held(), 1);
+  s.group.Restart(coordinator);
   s.group.Advance(5000);
-  cr_assert_eq(s.group.backend(home).prefixes_held(), 0);
+  cr_assert_eq(s.group.backend(coordinator).prefixes_held(), 0);
 }
 
 Test(EngineMemory, LoopingProgram_IsStoppedByItsTurnLimit) {
--- a/tests/order_test.cc
+++ b/tests/order_test.cc
@@ -15,7 +15,7 @@
 std::vector<core::Sequence> RunOrder(SmallGroup&            s,
                                      const core::ProgramId& program) {
   std::vector<core::Sequence> order;
-  for (const auto& vm : {kHomeA, kHomeB, kHomeC}) {
+  for (const auto& vm : {kCoordinatorA, kCoordinatorB, kCoordinatorC}) {
     for (const auto& [id, sequence] : s.group.backend(vm).order()) {
       if (id == program) order.push_back(sequence);
     }
@@ -60,7 +60,7 @@
   const auto second =
       s.group.Call("entry-a", s.group.ModelCall(s.program, 2, "second"));
   s.group.Advance(20);
-  s.group.Kill(s.Home());
+  s.group.Kill(s.Coordinator());
   const auto first = s.group.CallThrough(
       {"entry-b"}, s.group.ModelCall(s.program, 1, "first"), kLong);
   cr_assert(first.ok);
--- a/tests/path_test.cc
+++ b/tests/path_test.cc
@@ -29,7 +29,7 @@
   cr_assert(reply.ok);
   cr_assert_eq(reply.program.turns.size(), 3);
   s.group.Advance(1000);
-  cr_assert_eq(s.group.backend(s.Home()).prefixes_held(), 0);
+  cr_assert_eq(s.group.backend(s.Coordinator()).prefixes_held(), 0);
 }
 
 Test(Program, HomeKilledBetweenTurns_GoesOnAtItsReplica) {
@@ -40,11 +40,12 @@
   s.Start();
   cr_assert(
       s.group.CallNow("entry-a", s.group.ModelCall(s.program, 1, "one")).ok);
-  s.group.Kill(s.Home());
+  s.group.Kill(s.Coordinator());
   const auto reply = s.group.CallThrough(
       {"entry-a", "entry-b"}, s.group.ModelCall(s.program, 2, "two"), kLong);
   cr_assert(reply.ok, "%s", core::Name(reply.failure.reason).data());
-  const auto* state = s.group.agent(s.HomeNow()).home().Find(s.program);
+  const auto* state =
+      s.group.agent(s.CurrentCoordinator()).coordinator().Find(s.program);
   cr_assert_not_null(state);
   cr_assert_eq(state->turns.size(), 2);
 }
--- a/tests/refusal_test.cc
+++ b/tests/refusal_test.cc
@@ -20,7 +20,7 @@
   s.Start();
   const auto mine = s.program;
   const auto other = s.group.StartNow("entry-b", "sakhli", "w2");
-  for (const auto& vm : {kHomeA, kHomeB, kHomeC})
+  for (const auto& vm : {kCoordinatorA, kCoordinatorB, kCoordinatorC})
     s.group.backend(vm).Hold(true);
   s.group.CallAs("entry-a", kNumber, s.group.ModelCall(mine, 1, "mine"));
   s.group.Advance(50);
@@ -34,7 +34,7 @@
   s.group.Advance(10);
   s.group.backend(mine.origin.vm).Hold(false);
   s.group.Advance(2000);
-  for (const auto& vm : {kHomeA, kHomeB, kHomeC})
+  for (const auto& vm : {kCoordinatorA, kCoordinatorB, kCoordinatorC})
     s.group.backend(vm).Hold(false);
   s.group.AdvanceUntil([&] { return s.group.IsAnswered(kNumber); }, kLong);
   const auto& reply = std::get<core::CallReply>(*s.group.AnswerTo(kNumber));
@@ -84,8 +84,8 @@
 Test(Answers, CallerAsksAgainAfterItsAnswer_GetsTheSame) {
   // The caller lost its answer, asks again through the other entry, and gets it
   // from the program's history; the desk hears nothing.
-  cr_assert_not(
-      SameAnswerWhenAskedAgain(Safeguards::Without(Safeguard::kHomeDedup)));
+  cr_assert_not(SameAnswerWhenAskedAgain(
+      Safeguards::Without(Safeguard::kCoordinatorDedup)));
   cr_assert(SameAnswerWhenAskedAgain(Safeguards::All()));
 }
 
@@ -183,7 +183,7 @@
       s.group.Call("entry-a", s.group.ServiceCall(s.program, 1, "friday 9"));
   s.group.Advance(after);
   const std::string desk = s.DeskOf(1).empty() ? kDesk1 : s.DeskOf(1);
-  const std::string victims[] = {s.Home(), desk, replica};
+  const std::string victims[] = {s.Coordinator(), desk, replica};
   s.group.Kill(victims[victim]);
   s.group.AdvanceUntil([&] { return s.group.IsAnswered(request); }, 2 * kLong);
   s.group.Advance(5000);
@@ -211,7 +211,7 @@
   s.group.AdvanceUntil([&] { return !s.DeskOf(1).empty(); }, 3000);
   // Nobody can take over while the log is down; the entry gives up.
   s.group.log().SetMode(LogMode::kDown);
-  s.group.Freeze(s.Home());
+  s.group.Freeze(s.Coordinator());
   s.group.AdvanceUntil([&] { return s.group.IsAnswered(request); }, kLong);
   const auto& reply = std::get<core::CallReply>(*s.group.AnswerTo(request));
   return reply.failure.ran != Ran::kNo;
@@ -237,7 +237,7 @@
   programs.reserve(120);
   for (int i = 0; i < 120; ++i)
     programs.push_back(*s.group.StartNow("entry-a", "sakhli", "w1"));
-  for (const auto& vm : {kHomeA, kHomeB, kHomeC})
+  for (const auto& vm : {kCoordinatorA, kCoordinatorB, kCoordinatorC})
     s.group.backend(vm).Hold(true);
   std::vector<std::uint64_t> requests;
   requests.reserve(programs.size());
--- a/tests/schedule_test.cc
+++ b/tests/schedule_test.cc
@@ -47,7 +47,8 @@
              << step.b << ")";
 }
 
-const std::vector<std::string> kNodes{kHomeA, kHomeB, kHomeC, kDesk1, kDesk2};
+const std::vector<std::string> kNodes{kCoordinatorA, kCoordinatorB,
+                                      kCoordinatorC, kDesk1, kDesk2};
 const std::vector<std::string> kEntries{"entry-a", "entry-b"};
 constexpr int                  kPrograms = 3;
 constexpr core::Duration       kWaitUnit = 100;  // ms
@@ -121,7 +122,7 @@
     for (const auto& issued : m_issued) CheckAnswer(issued);
     for (const auto& program : m_programs) CheckHistory(program);
     std::size_t held = 0;
-    for (const auto& vm : {kHomeA, kHomeB, kHomeC})
+    for (const auto& vm : {kCoordinatorA, kCoordinatorB, kCoordinatorC})
       held += m_s.group.backend(vm).prefixes_held();
     RC_ASSERT(held == 0U);
   }
@@ -224,16 +225,16 @@
   void CheckHistory(Program program) {
     Collect(&program);
     const core::ProgramState* state = nullptr;
-    for (const auto& vm : {kHomeA, kHomeB, kHomeC}) {
+    for (const auto& vm : {kCoordinatorA, kCoordinatorB, kCoordinatorC}) {
       const auto& agent = m_s.group.agent(vm);
       const bool  owner =
           agent.control().Resolve(program.id.origin).node == agent.self();
-      if (owner) state = agent.home().Find(program.id);
+      if (owner) state = agent.coordinator().Find(program.id);
     }
     if (state == nullptr) {
       // Ended long ago and forgotten: the log has it.
       core::ProgramState logged;
-      for (const auto& vm : {kHomeA, kHomeB, kHomeC}) {
+      for (const auto& vm : {kCoordinatorA, kCoordinatorB, kCoordinatorC}) {
         for (const auto& record :
              m_s.group.log().Records(core::HistoryStream(vm))) {
           for (const auto& delta :
--- a/tests/stop_test.cc
+++ b/tests/stop_test.cc
@@ -14,7 +14,8 @@
 
 std::vector<core::VmEntry> ListWithLeaving(const std::string& leaving) {
   std::vector<core::VmEntry> list;
-  for (const auto& vm : {kHomeA, kHomeB, kHomeC, kDesk1, kDesk2})
+  for (const auto& vm :
+       {kCoordinatorA, kCoordinatorB, kCoordinatorC, kDesk1, kDesk2})
     list.push_back({vm, "", vm == leaving});
   return list;
 }
@@ -45,13 +46,15 @@
   // it all the same.
   SmallGroup s;
   s.group.SetVmList(ListWithLeaving(""));
-  s.group.Cut("entry-a", kHomeA);
+  s.group.Cut("entry-a", kCoordinatorA);
   s.group.Cut("entry-a", kDesk1);
-  s.group.log().Append({0,
-                        std::string(core::kControlStream),
-                        {core::LeaveRecord{s.group.agent(kHomeA).self()}}});
+  s.group.log().Append(
+      {0,
+       std::string(core::kControlStream),
+       {core::LeaveRecord{s.group.agent(kCoordinatorA).self()}}});
   s.group.Advance(kFewSeconds);
-  for (int i = 0; i < 20; ++i) cr_assert_neq(s.Start().origin.vm, kHomeA);
+  for (int i = 0; i < 20; ++i)
+    cr_assert_neq(s.Start().origin.vm, kCoordinatorA);
 }
 
 bool StoppedDeskFinishesItsCall(Safeguards safeguards) {
@@ -85,7 +88,7 @@
   const auto request =
       s.group.Call("entry-a", s.group.ModelCall(s.program, 1, "one"));
   s.group.Advance(20);
-  s.group.Stop(s.Home());
+  s.group.Stop(s.Coordinator());
   cr_assert(
       s.group.AdvanceUntil([&] { return s.group.IsAnswered(request); }, kLong));
   cr_assert(std::get<core::CallReply>(*s.group.AnswerTo(request)).ok);
@@ -93,7 +96,7 @@
       {"entry-b"}, s.group.ModelCall(s.program, 2, "two"), kLong);
   cr_assert(next.ok, "%s", core::Name(next.failure.reason).data());
   s.group.Advance(5000);
-  cr_assert_not(s.group.IsRunning(s.Home()));
+  cr_assert_not(s.group.IsRunning(s.Coordinator()));
   cr_assert_eq(s.group.TotalEffects({s.program, 1}), 1);
 }
 
@@ -116,7 +119,7 @@
       s.group.Call("entry-a", s.group.ModelCall(s.program, 1, "one"));
   s.group.Advance(20);
   s.group.Stop("entry-a");
-  s.group.Stop(s.Home());
+  s.group.Stop(s.Coordinator());
   s.group.Advance(5000);
   cr_assert(std::get<core::CallReply>(*s.group.AnswerTo(request)).ok);
 }
@@ -129,8 +132,9 @@
   programs.reserve(12);
   for (int i = 0; i < 12; ++i) programs.push_back(s.Start());
   core::Sequence                 sequence = 0;
-  const std::vector<std::string> nodes{kHomeA, kDesk1,    kHomeB,   kDesk2,
-                                       kHomeC, "entry-a", "entry-b"};
+  const std::vector<std::string> nodes{
+      kCoordinatorA, kDesk1,    kCoordinatorB, kDesk2,
+      kCoordinatorC, "entry-a", "entry-b"};
   for (const auto& vm : nodes) {
     ++sequence;
     const std::string entry = vm == "entry-a" ? "entry-b" : "entry-a";
--- a/tests/unrepeatable_test.cc
+++ b/tests/unrepeatable_test.cc
@@ -71,7 +71,7 @@
   cr_assert(OnceThoughDispatchIsRepeated(Safeguards::All()));
 }
 
-bool OnceThoughHomeAndDeskDie(Safeguards safeguards) {
+bool OnceThoughCoordinatorAndDeskDie(Safeguards safeguards) {
   SmallGroup s(safeguards);
   s.Start();
   // The copies that name the desk are lost the first time.
@@ -88,7 +88,7 @@
   for (const auto& desk : {kDesk1, kDesk2}) s.group.backend(desk).Hold(true);
   s.group.Call("entry-a", s.group.ServiceCall(s.program, 1, "friday 9"));
   s.group.AdvanceUntil([&] { return !s.DeskOf(1).empty(); }, 3000);
-  s.group.Kill(s.Home());
+  s.group.Kill(s.Coordinator());
   s.group.Kill(s.DeskOf(1));
   for (const auto& desk : {kDesk1, kDesk2}) s.group.backend(desk).Hold(false);
   s.group.Advance(6000);
@@ -101,9 +101,9 @@
   // when home and desk agent die. The new home knows from its copy where the
   // call may have run; a home that sent before that copy was held would leave a
   // successor that runs it at the other desk.
-  cr_assert_not(
-      OnceThoughHomeAndDeskDie(Safeguards::Without(Safeguard::kIntentFirst)));
-  cr_assert(OnceThoughHomeAndDeskDie(Safeguards::All()));
+  cr_assert_not(OnceThoughCoordinatorAndDeskDie(
+      Safeguards::Without(Safeguard::kIntentFirst)));
+  cr_assert(OnceThoughCoordinatorAndDeskDie(Safeguards::All()));
 }
 
 Test(Unrepeatable, HomeKilledBetweenDispatchAndAnswer_AnswerIsFound) {
@@ -115,7 +115,7 @@
   for (const auto& desk : {kDesk1, kDesk2}) s.group.backend(desk).Hold(true);
   s.group.Call("entry-a", s.group.ServiceCall(s.program, 1, "friday 9"));
   s.group.AdvanceUntil([&] { return !s.DeskOf(1).empty(); }, 3000);
-  s.group.Kill(s.Home());
+  s.group.Kill(s.Coordinator());
   s.group.Advance(4000);
   for (const auto& desk : {kDesk1, kDesk2}) s.group.backend(desk).Hold(false);
   const auto reply = s.group.CallThrough(
@@ -127,20 +127,20 @@
 bool OnceThoughOldOrderComesLate(Safeguards safeguards) {
   SmallGroup s(safeguards);
   s.Start();
-  const std::string home = s.Home();
+  const std::string coordinator = s.Coordinator();
   const auto        replicas = s.Replicas();
   // The home's order leaves it 20 s late, as from a paused VM.
   s.group.SetLateness(20'000);
   bool sent = false;
   s.group.SetFilter(
       [&](const core::NodeRef& from, const core::SendMessage& send) {
-        if (!IsDispatch(send) || from.vm != home) return Fate::kDeliver;
+        if (!IsDispatch(send) || from.vm != coordinator) return Fate::kDeliver;
         sent = true;
         return Fate::kDelay;
       });
   s.group.Call("entry-a", s.group.ServiceCall(s.program, 1, "friday 9"));
   s.group.AdvanceUntil([&] { return sent; }, 3000);
-  s.group.Freeze(home);
+  s.group.Freeze(coordinator);
   s.group.Kill("entry-a");
   // The successor fences the desk named, then loses touch with it and runs the
   // call at the other one.
@@ -176,15 +176,15 @@
   // the log, still believing that it owns the program, and is asked again.
   SmallGroup s;
   s.Start();
-  const std::string home = s.Home();
-  s.group.Freeze(home);
+  const std::string coordinator = s.Coordinator();
+  s.group.Freeze(coordinator);
   const auto reply = s.group.CallThrough(
       {"entry-b"}, s.group.ServiceCall(s.program, 1, "friday 9"), kLong);
   cr_assert(reply.ok);
-  s.group.CutLog(home, true);
-  s.group.Thaw(home);
+  s.group.CutLog(coordinator, true);
+  s.group.Thaw(coordinator);
   s.group.Inject(
-      home,
+      coordinator,
       core::MessageReceived{
           s.group.entry("entry-a").self(), s.program.origin,
           core::CallRequest{1, s.group.ServiceCall(s.program, 1, "friday 9")}});
