--- a/src/yuccawick/core/agent.cc
+++ b/src/yuccawick/core/agent.cc
@@ -31,8 +31,9 @@
                [this](const std::string& customer) {
                  m_funding_changed.insert(customer);
                }),
-      m_durability(m_self, m_settings.durability, m_control, m_outbox,
-                   [this](Ticket ticket) { m_held.push_back(ticket); }),
+      m_durability(
+          m_self, m_settings.durability, m_control, m_outbox,
+          [this](Ticket ticket) { m_durable_tickets.push_back(ticket); }),
       m_backups(m_control, m_outbox),
       m_executor(m_self, m_settings.executor, safeguards, queue_policy,
                  m_outbox),
@@ -53,10 +54,11 @@
   std::vector<Command> out;
   while (true) {
     RetryFunding(now);
-    for (const Ticket ticket : std::exchange(m_held, {}))
+    for (const Ticket ticket : std::exchange(m_durable_tickets, {}))
       m_coordinator.OnDurable(ticket, now);
     auto commands = m_outbox.Take();
-    if (commands.empty() && m_funding_changed.empty() && m_held.empty())
+    if (commands.empty() && m_funding_changed.empty() &&
+        m_durable_tickets.empty())
       return out;
     for (auto& command : commands) {
       auto* send = std::get_if<SendMessage>(&command);
@@ -85,8 +87,8 @@
     m_durability.OnControlReadStarted(m_tail.ReadNow(now));
   m_executor.OnTick(now);
   m_coordinator.OnTick(now);
-  KeepJoined(now);
-  KeepReplicas(now);
+  EnsureJoined(now);
+  EnsureReplicas(now);
   if (now >= m_next_scan) Scan(now);
   if (m_tail.IsLogUnavailable() || !m_tail.HasState()) {
     const NodeRef* ahead = m_membership.PeerAhead();
@@ -110,12 +112,13 @@
 void Agent::On(const MessageReceived& event, Time now) {
   // A message for an earlier incarnation must not be taken for ours: its
   // numbers mean something else here.
-  const bool  ours = IsMeant(event.to, m_self);
+  const bool  addressed_here = IsMeant(event.to, m_self);
   const auto* dispatch = std::get_if<Dispatch>(&event.message);
   const auto* fence = std::get_if<FenceCall>(&event.message);
   // These two say themselves whom they mean, and want a typed answer.
   const bool  answers_anyway = dispatch != nullptr || fence != nullptr;
-  if (!ours && !answers_anyway && m_safeguards.Has(Safeguard::kReplyMatch)) {
+  if (!addressed_here && !answers_anyway &&
+      m_safeguards.Has(Safeguard::kReplyMatch)) {
     m_outbox.Push(Count{Counter::kStaleMessages, "other_incarnation", 1});
     return;
   }
@@ -286,7 +289,7 @@
   return true;
 }
 
-void Agent::KeepJoined(Time now) {
+void Agent::EnsureJoined(Time now) {
   if (m_executor.IsJoined() || m_tail.phase() != ConfigPhase::kCurrent) return;
   if (m_draining || !MayRetry(&m_joined_at, now)) return;
   m_outbox.Append(std::string(kControlStream), {m_settings.join});
@@ -338,7 +341,7 @@
          m_membership.IsUsable(member.join.node);
 }
 
-void Agent::KeepReplicas(Time now) {
+void Agent::EnsureReplicas(Time now) {
   if (m_settings.join.kind != BackendKind::kModel) return;
   if (!m_executor.IsJoined() || m_draining) return;
   const auto usable = [this](const std::vector<NodeRef>& nodes) {
@@ -349,12 +352,12 @@
   if (!usable(m_durability.Candidates())) m_durability.DropCandidates();
   if (m_durability.Candidates().empty()) {
     const auto replicas = m_durability.Replicas();
-    const bool fine =
+    const bool sufficient =
         replicas.size() >= m_settings.replicas && usable(replicas);
-    if (fine) return;
+    if (sufficient) return;
     const auto chosen = ChooseReplicas();
     if (chosen.empty() || chosen == replicas) return;
-    m_durability.StartCandidates(chosen, m_coordinator.Everything(), now);
+    m_durability.StartCandidates(chosen, m_coordinator.AllPrograms(), now);
     m_assigned_at = 0;
     return;
   }
@@ -458,11 +461,11 @@
 // ---- Stopping
 
 // The first replica that is well, or else the first.
-NodeRef Agent::HeirOf(const std::vector<NodeRef>& replicas) const {
-  const auto well =
+NodeRef Agent::ChooseSuccessor(const std::vector<NodeRef>& replicas) const {
+  const auto usable_replica =
       std::find_if(replicas.begin(), replicas.end(),
                    [this](const auto& n) { return m_membership.IsUsable(n); });
-  return well == replicas.end() ? replicas.front() : *well;
+  return usable_replica == replicas.end() ? replicas.front() : *usable_replica;
 }
 
 void Agent::Drain(Time now) {
@@ -475,19 +478,19 @@
   if (busy && m_safeguards.Has(Safeguard::kDrainInFlight)) return;
   m_durability.FlushNow(now);
   if (!m_durability.IsQuiet()) return;
-  m_budget.ReturnAll(now);
+  m_budget.ReleaseAllUnused(now);
   if (!m_budget.IsQuiet()) return;
-  const bool hands_over =
+  const bool transfers =
       self != nullptr && !self->IsClaimed() && !m_durability.Replicas().empty();
-  if (hands_over)
-    return AppendClaim(m_self, HeirOf(m_durability.Replicas()), now);
-  const bool told = self == nullptr || self->leaving || self->IsClaimed();
-  if (!told) return;
+  if (transfers)
+    return AppendClaim(m_self, ChooseSuccessor(m_durability.Replicas()), now);
+  const bool announced = self == nullptr || self->leaving || self->IsClaimed();
+  if (!announced) return;
   // Others read of the leave some time later. Until then their orders are
   // refused as not run; sent to a stopped process, nobody could say that.
-  const bool waits = self != nullptr && m_left_at != 0 &&
-                     now - m_left_at < m_settings.leave_grace;
-  if (waits && m_safeguards.Has(Safeguard::kDrainInFlight)) return;
+  const bool in_grace_period = self != nullptr && m_left_at != 0 &&
+                               now - m_left_at < m_settings.leave_grace;
+  if (in_grace_period && m_safeguards.Has(Safeguard::kDrainInFlight)) return;
   m_executor.ReleaseAll();
   LogLine line;
   line.event = LogEvent::kStopped;
--- a/src/yuccawick/core/agent.h
+++ b/src/yuccawick/core/agent.h
@@ -82,8 +82,8 @@
   // Membership and ownership.
   void                 OnControlChanged(Time now);
   void                 LogContracts();
-  void                 KeepJoined(Time now);
-  void                 KeepReplicas(Time now);
+  void                 EnsureJoined(Time now);
+  void                 EnsureReplicas(Time now);
   std::vector<NodeRef> ChooseReplicas() const;
   bool                 MayBeReplica(const Member& member) const;
   void                 ClaimDeadPeers(Time now);
@@ -95,7 +95,7 @@
   void WatchDependencies(Time now);
 
   // Planned stop.
-  NodeRef HeirOf(const std::vector<NodeRef>& replicas) const;
+  NodeRef ChooseSuccessor(const std::vector<NodeRef>& replicas) const;
   void    Drain(Time now);
   bool    MayRetry(Time* last, Time now) const;
 
@@ -115,7 +115,7 @@
   Executor      m_executor;
   Coordinator   m_coordinator;
 
-  std::vector<Ticket>              m_held;
+  std::vector<Ticket>              m_durable_tickets;
   std::set<std::string>            m_funding_changed;  // customers
   std::map<std::string, Offset>    m_logged_contracts;
   std::set<NodeRef>                m_adopted;
--- a/src/yuccawick/core/budget.cc
+++ b/src/yuccawick/core/budget.cc
@@ -24,7 +24,7 @@
   if (grant == nullptr) return Effect::kVoid;
   Account& account = m_accounts[Index(grant->resource)];
   if (account.known) return Fold(logged.offset, *grant, &account);
-  account.unplaced.push_back(logged);
+  account.deferred.push_back(logged);
   const bool from_start = earliest == 0;
   // A checkpoint is usable when no record after it has been dropped.
   const bool usable = grant->checkpoint.as_of != kNoOffset &&
@@ -37,11 +37,11 @@
 }
 
 void GrantLedger::Replay(Account* account) {
-  for (const auto& logged : account->unplaced) {
+  for (const auto& logged : account->deferred) {
     if (logged.offset <= account->state.as_of) continue;
     Fold(logged.offset, std::get<GrantRecord>(logged.record), account);
   }
-  account->unplaced.clear();
+  account->deferred.clear();
 }
 
 Effect GrantLedger::Fold(Offset offset, const GrantRecord& grant,
@@ -106,8 +106,8 @@
       m_outbox(outbox),
       m_on_change(std::move(on_change)) {}
 
-Budget::Purse& Budget::PurseOf(Account* account, Resource resource) {
-  return account->purses[Index(resource)];
+Budget::Allowance& Budget::AllowanceOf(Account* account, Resource resource) {
+  return account->allowances[Index(resource)];
 }
 
 std::int64_t Budget::TotalOf(const ContractInForce& contract,
@@ -118,12 +118,12 @@
 
 void Budget::RollPeriod(const ContractInForce& contract, Account* account,
                         Time now) {
-  Purse&             purse = PurseOf(account, Resource::kTokens);
+  Allowance&         allowance = AllowanceOf(account, Resource::kTokens);
   const std::int64_t period = now / contract.contract.period;
-  if (period <= purse.period) return;
-  purse.period = period;
-  purse.available = 0;
-  purse.returning = 0;
+  if (period <= allowance.period) return;
+  allowance.period = period;
+  allowance.available = 0;
+  allowance.releasing = 0;
 }
 
 Funding Budget::Reserve(const std::string& customer, Resource resource,
@@ -133,45 +133,45 @@
   if (contract == nullptr) return Funding::kRefused;
   Account& account = m_accounts[customer];
   RollPeriod(*contract, &account, now);
-  Purse& purse = PurseOf(&account, resource);
-  if (purse.available >= amount) {
-    purse.available -= amount;
+  Allowance& allowance = AllowanceOf(&account, resource);
+  if (allowance.available >= amount) {
+    allowance.available -= amount;
     return Funding::kFunded;
   }
-  return Ask(customer, &account, resource, amount, now);
+  return RequestSlice(customer, &account, resource, amount, now);
 }
 
-Funding Budget::Ask(const std::string& customer, Account* account,
-                    Resource resource, std::int64_t amount, Time now) {
-  Purse& purse = PurseOf(account, resource);
-  if (now < account->log_down_until) return Funding::kLogDown;
+Funding Budget::RequestSlice(const std::string& customer, Account* account,
+                             Resource resource, std::int64_t amount, Time now) {
+  Allowance& allowance = AllowanceOf(account, resource);
+  if (now < account->log_down_until) return Funding::kLogUnavailable;
   if (account->append != 0 || account->read != 0) return Funding::kWaiting;
   if (!account->ledger.IsKnown(resource)) {
-    ReadOn(customer, account, now);
+    ReadLedger(customer, account, now);
     return Funding::kWaiting;
   }
   const ContractInForce& contract = *m_control.FindContract(customer);
   const GrantCheckpoint& state = account->ledger.state(resource);
   const std::int64_t     total = TotalOf(contract, resource);
-  const bool             new_period = state.period < purse.period;
+  const bool             new_period = state.period < allowance.period;
   const std::int64_t     granted = new_period ? 0 : state.granted;
   const std::int64_t     left = total - granted;
-  const std::int64_t     missing = amount - purse.available;
+  const std::int64_t     missing = amount - allowance.available;
   if (left < missing) return Funding::kRefused;
   const std::int64_t slice = resource == Resource::kTokens
                                  ? total / m_settings.slice_divisor
                                  : m_settings.slot_slice;
   const std::int64_t asked = std::min(left, std::max(slice, missing));
-  Write(customer, account, resource, asked, now);
+  AppendGrant(customer, account, resource, asked, now);
   // Spending before log order has shown the slice valid would let two nodes
   // spend the same remainder.
   if (m_safeguards.Has(Safeguard::kGrantReadBack)) return Funding::kWaiting;
-  purse.available += asked - amount;
+  allowance.available += asked - amount;
   return Funding::kFunded;
 }
 
-void Budget::Write(const std::string& customer, Account* account,
-                   Resource resource, std::int64_t amount, Time now) {
+void Budget::AppendGrant(const std::string& customer, Account* account,
+                         Resource resource, std::int64_t amount, Time now) {
   const ContractInForce* contract = m_control.FindContract(customer);
   if (contract == nullptr) return;
   GrantRecord grant;
@@ -181,7 +181,7 @@
   grant.amount = amount;
   grant.version = contract->version;
   grant.total = TotalOf(*contract, resource);
-  grant.period = PurseOf(account, resource).period;
+  grant.period = AllowanceOf(account, resource).period;
   grant.checkpoint = account->ledger.state(resource);
   // Records of the other resource may lie between; the sums still hold.
   grant.checkpoint.as_of = account->ledger.next() - 1;
@@ -189,7 +189,8 @@
   account->since = now;
 }
 
-void Budget::ReadOn(const std::string& customer, Account* account, Time now) {
+void Budget::ReadLedger(const std::string& customer, Account* account,
+                        Time now) {
   account->read = m_outbox.Read(GrantStream(customer), account->ledger.next());
   account->since = now;
 }
@@ -200,16 +201,16 @@
   if (contract == nullptr) return;
   Account& account = m_accounts[customer];
   RollPeriod(*contract, &account, now);
-  Purse&     purse = PurseOf(&account, resource);
+  Allowance& allowance = AllowanceOf(&account, resource);
   // Reserved under a total that has been lowered since: it may not be spent
   // again, or programs would exceed what the amended contract grants.
   const bool lowered = IsLowered(*contract, account, resource);
-  (lowered ? purse.returning : purse.available) += amount;
+  (lowered ? allowance.releasing : allowance.available) += amount;
   m_on_change(customer);
 }
 
 void Budget::Inherit(const std::string& customer, std::int64_t slots) {
-  PurseOf(&m_accounts[customer], Resource::kPrograms).available += slots;
+  AllowanceOf(&m_accounts[customer], Resource::kPrograms).available += slots;
 }
 
 void Budget::OnAppend(const AppendDone& done, Time now) {
@@ -222,22 +223,22 @@
       return;
     }
     // Lost replies are looked up: whatever log order shows is what holds.
-    ReadOn(customer, &account, now);
+    ReadLedger(customer, &account, now);
     return;
   }
 }
 
-void Budget::Absorb(const ReadDone& done, Account* account) {
+void Budget::ApplyRead(const ReadDone& done, Account* account) {
   for (const auto& logged : done.records) {
     const Effect effect = account->ledger.Apply(logged, done.earliest);
     const auto*  grant = std::get_if<GrantRecord>(&logged.record);
     if (grant == nullptr || grant->holder != m_self) continue;
-    Purse&     purse = PurseOf(account, grant->resource);
+    Allowance& allowance = AllowanceOf(account, grant->resource);
     // What was given back left the purse when it was written.
     const bool credit = effect == Effect::kApplied && grant->amount > 0 &&
-                        grant->period == purse.period &&
+                        grant->period == allowance.period &&
                         m_safeguards.Has(Safeguard::kGrantReadBack);
-    if (credit) purse.available += grant->amount;
+    if (credit) allowance.available += grant->amount;
   }
   account->ledger.ReadTo(done.end, done.earliest);
 }
@@ -252,7 +253,7 @@
       return;
     }
     account.log_down_until = 0;
-    Absorb(done, &account);
+    ApplyRead(done, &account);
     m_on_change(customer);
     return;
   }
@@ -267,26 +268,27 @@
       account.log_down_until = now + Info(Reason::kLogUnavailable).retry_after;
       m_on_change(customer);
     }
-    ReturnSpare(customer, &account, Resource::kPrograms, m_settings.spare_slots,
-                now);
+    ReleaseSpare(customer, &account, Resource::kPrograms,
+                 m_settings.spare_slots, now);
   }
   OnContracts(now);
 }
 
-void Budget::ReturnSpare(const std::string& customer, Account* account,
-                         Resource resource, std::int64_t keep, Time now) {
-  Purse&             purse = PurseOf(account, resource);
-  const std::int64_t spare = std::max<std::int64_t>(0, purse.available - keep);
+void Budget::ReleaseSpare(const std::string& customer, Account* account,
+                          Resource resource, std::int64_t keep, Time now) {
+  Allowance&         allowance = AllowanceOf(account, resource);
+  const std::int64_t spare =
+      std::max<std::int64_t>(0, allowance.available - keep);
   // Out of the purse at once, also while the log is down; and out of
   // `returning` before the append, so that a lost reply strands the slice until
   // the period ends but can never return it twice.
-  purse.available -= spare;
-  purse.returning += spare;
-  if (purse.returning == 0 || account->append != 0) return;
+  allowance.available -= spare;
+  allowance.releasing += spare;
+  if (allowance.releasing == 0 || account->append != 0) return;
   if (now < account->log_down_until) return;
   if (m_control.FindContract(customer) == nullptr) return;
-  Write(customer, account, resource, -purse.returning, now);
-  purse.returning = 0;
+  AppendGrant(customer, account, resource, -allowance.releasing, now);
+  allowance.releasing = 0;
 }
 
 bool Budget::IsLowered(const ContractInForce& contract, const Account& account,
@@ -304,15 +306,15 @@
     if (contract == nullptr) continue;
     for (const Resource resource : kResources) {
       if (IsLowered(*contract, account, resource))
-        ReturnSpare(customer, &account, resource, 0, now);
+        ReleaseSpare(customer, &account, resource, 0, now);
     }
   }
 }
 
-void Budget::ReturnAll(Time now) {
+void Budget::ReleaseAllUnused(Time now) {
   for (auto& [customer, account] : m_accounts) {
     for (const Resource resource : kResources)
-      ReturnSpare(customer, &account, resource, 0, now);
+      ReleaseSpare(customer, &account, resource, 0, now);
   }
 }
 
@@ -326,7 +328,7 @@
                                  Resource           resource) const {
   const auto it = m_accounts.find(customer);
   if (it == m_accounts.end()) return 0;
-  return it->second.purses[Index(resource)].available;
+  return it->second.allowances[Index(resource)].available;
 }
 
 }  // namespace yuccawick::core
--- a/src/yuccawick/core/budget.h
+++ b/src/yuccawick/core/budget.h
@@ -41,7 +41,7 @@
   struct Account {
     GrantCheckpoint           state;
     bool                      known = false;
-    std::vector<LoggedRecord> unplaced;  // read before a usable checkpoint
+    std::vector<LoggedRecord> deferred;  // read before a usable checkpoint
     std::map<NodeRef, std::int64_t> outstanding;
   };
   static Effect Fold(Offset offset, const GrantRecord& grant, Account* account);
@@ -52,10 +52,10 @@
 };
 
 enum class Funding : std::uint8_t {
-  kFunded,   // reserved
-  kWaiting,  // a slice has been asked for; try again when told
-  kRefused,  // the total is used up
-  kLogDown,  // no slice left here and the log does not answer
+  kFunded,          // reserved
+  kWaiting,         // a slice has been asked for; try again when told
+  kRefused,         // the total is used up
+  kLogUnavailable,  // no slice left here and the log does not answer
 };
 
 struct BudgetSettings {
@@ -93,7 +93,7 @@
   // The contracts changed: gives slices back where a total was lowered.
   void OnContracts(Time now);
   // Gives every unused slice back (planned stop).
-  void ReturnAll(Time now);
+  void ReleaseAllUnused(Time now);
   // True if no append of a returned slice is under way.
   bool IsQuiet() const;
 
@@ -101,37 +101,37 @@
                            Resource           resource) const;
 
  private:
-  struct Purse {
+  struct Allowance {
     std::int64_t available = 0;  // may be reserved
-    std::int64_t returning = 0;  // no longer spendable, not yet written back
+    std::int64_t releasing = 0;  // no longer spendable, not yet written back
     std::int64_t period = 0;
   };
   struct Account {
-    GrantLedger                       ledger;
-    std::array<Purse, kResourceCount> purses;
-    std::uint64_t                     append = 0;  // under way; 0: none
-    std::uint64_t                     read = 0;    // under way; 0: none
-    Time                              since = 0;   // of the above
-    Time                              log_down_until = 0;
-    std::int64_t                      number = 0;  // of grants written
+    GrantLedger                           ledger;
+    std::array<Allowance, kResourceCount> allowances;
+    std::uint64_t                         append = 0;  // under way; 0: none
+    std::uint64_t                         read = 0;    // under way; 0: none
+    Time                                  since = 0;   // of the above
+    Time                                  log_down_until = 0;
+    std::int64_t                          number = 0;  // of grants written
   };
 
-  static Purse& PurseOf(Account* account, Resource resource);
-  std::int64_t  TotalOf(const ContractInForce& contract,
-                        Resource               resource) const;
+  static Allowance& AllowanceOf(Account* account, Resource resource);
+  std::int64_t      TotalOf(const ContractInForce& contract,
+                            Resource               resource) const;
   void RollPeriod(const ContractInForce& contract, Account* account, Time now);
-  Funding Ask(const std::string& customer, Account* account, Resource resource,
-              std::int64_t amount, Time now);
-  void Write(const std::string& customer, Account* account, Resource resource,
-             std::int64_t amount, Time now);
-  void ReadOn(const std::string& customer, Account* account, Time now);
+  Funding RequestSlice(const std::string& customer, Account* account,
+                       Resource resource, std::int64_t amount, Time now);
+  void    AppendGrant(const std::string& customer, Account* account,
+                      Resource resource, std::int64_t amount, Time now);
+  void    ReadLedger(const std::string& customer, Account* account, Time now);
   // Sets everything above `keep` aside and writes it back when the log allows.
-  void ReturnSpare(const std::string& customer, Account* account,
-                   Resource resource, std::int64_t keep, Time now);
+  void    ReleaseSpare(const std::string& customer, Account* account,
+                       Resource resource, std::int64_t keep, Time now);
   // True if the contract in force grants less than the slices already out.
-  bool IsLowered(const ContractInForce& contract, const Account& account,
-                 Resource resource) const;
-  void Absorb(const ReadDone& done, Account* account);
+  bool    IsLowered(const ContractInForce& contract, const Account& account,
+                    Resource resource) const;
+  void    ApplyRead(const ReadDone& done, Account* account);
 
   NodeRef                                 m_self;
   BudgetSettings                          m_settings;
--- a/src/yuccawick/core/chart.cc
+++ b/src/yuccawick/core/chart.cc
@@ -107,7 +107,7 @@
     next = to;
   }
   if (chart.m_start < 0) return Fail(ChartFault::kNoStart, 0, "start");
-  if (auto used = chart.CheckUse(states, events); !used)
+  if (auto used = chart.CheckReachability(states, events); !used)
     return tl::make_unexpected(used.error());
   return chart;
 }
@@ -117,8 +117,8 @@
                 static_cast<std::size_t>(event)];
 }
 
-tl::expected<void, ChartError> Chart::CheckUse(const NameList& states,
-                                               const NameList& events) const {
+tl::expected<void, ChartError> Chart::CheckReachability(
+    const NameList& states, const NameList& events) const {
   std::vector<bool> reached(states.size(), false);
   std::vector<bool> used(events.size(), false);
   std::vector<int>  open{m_start};
--- a/src/yuccawick/core/chart.h
+++ b/src/yuccawick/core/chart.h
@@ -52,8 +52,8 @@
 
  private:
   Chart(std::size_t states, std::size_t events);
-  tl::expected<void, ChartError> CheckUse(const NameList& states,
-                                          const NameList& events) const;
+  tl::expected<void, ChartError> CheckReachability(
+      const NameList& states, const NameList& events) const;
 
   std::size_t      m_events;
   int              m_start = -1;
--- a/src/yuccawick/core/control.cc
+++ b/src/yuccawick/core/control.cc
@@ -7,7 +7,7 @@
 
 // Claimed members are kept this many control records, so that tokens minted by
 // them still lead to their programs. At 500 records a day that is 16 days.
-constexpr Offset kKeepClaimed = 8192;
+constexpr Offset kClaimedRetention = 8192;
 // A chain of claims longer than this is a fold gone wrong.
 constexpr int    kMaxClaimChain = 64;
 
@@ -176,7 +176,7 @@
   const Offset now = m_version + 1;
   std::erase_if(m_members, [now](const auto& entry) {
     const Member& member = entry.second;
-    return member.IsClaimed() && member.claimed + kKeepClaimed < now;
+    return member.IsClaimed() && member.claimed + kClaimedRetention < now;
   });
 }
 
--- a/src/yuccawick/core/control_tail.cc
+++ b/src/yuccawick/core/control_tail.cc
@@ -56,7 +56,7 @@
   if (HasState() || m_vms.empty()) return;
   // Started in an outage: no member is known yet, but the platform's list names
   // VMs whose nodes have been up for longer. One is asked at a time.
-  const auto& vm = m_vms[m_asked++ % m_vms.size()].vm;
+  const auto& vm = m_vms[m_next_vm++ % m_vms.size()].vm;
   if (vm != m_self.vm) RequestSnapshot(NodeRef{vm, 0});
 }
 
--- a/src/yuccawick/core/control_tail.h
+++ b/src/yuccawick/core/control_tail.h
@@ -60,9 +60,9 @@
   Time                      m_read_at = 0;
   Time                      m_next_read = 0;
   std::vector<VmEntry>      m_vms;
-  std::size_t               m_asked = 0;  // index into m_vms of the next to ask
-  Offset                    m_seen_snapshot = kNoOffset;
-  Time                      m_snapshot_due = 0;
+  std::size_t m_next_vm = 0;  // index into m_vms of the next to ask
+  Offset      m_seen_snapshot = kNoOffset;
+  Time        m_snapshot_due = 0;
 };
 
 }  // namespace yuccawick::core
--- a/src/yuccawick/core/coordinator.cc
+++ b/src/yuccawick/core/coordinator.cc
@@ -10,7 +10,7 @@
 
 // Index
 //   Starting     programs and sub-agents
-//   Ending       by the caller, by idleness
+//   PendingEnd       by the caller, by idleness
 //   Shared       helpers of all parts
 //
 // coordinator_calls.cc has the calls, coordinator_recovery.cc what follows a
@@ -18,20 +18,19 @@
 
 Coordinator::Coordinator(NodeRef self, std::string model,
                          CoordinatorSettings settings, Safeguards safeguards,
-                         Parts parts)
+                         Dependencies parts)
     : m_self(std::move(self)),
       m_model(std::move(model)),
       m_settings(settings),
       m_safeguards(safeguards),
-      m_parts(parts) {}
+      m_deps(parts) {}
 
 // ---- Starting
 
 tl::expected<void, Failure> Coordinator::CheckStart(
     const StartProgram& start) const {
   if (m_draining) return tl::make_unexpected(Refuse(Reason::kDraining));
-  const ContractInForce* contract =
-      m_parts.control.FindContract(start.customer);
+  const ContractInForce* contract = m_deps.control.FindContract(start.customer);
   if (contract == nullptr)
     return tl::make_unexpected(Refuse(Reason::kNoContract));
   if (FindClass(contract->contract, start.service_class) == nullptr)
@@ -39,7 +38,7 @@
   // A sub-agent lives with its parent, whatever model it uses.
   if (start.model != m_model && !start.parent.IsSet())
     return tl::make_unexpected(Refuse(Reason::kUnknownBackend));
-  if (!m_parts.executor.IsJoined())
+  if (!m_deps.executor.IsJoined())
     return tl::make_unexpected(Refuse(Reason::kNotReady));
   if (!start.parent.IsSet()) return {};
   const auto parent = m_programs.find(start.parent);
@@ -56,10 +55,12 @@
                           Time now) {
   const Caller caller{from, start.request};
   // A start that comes again must not leave a second program behind.
-  if (const auto minted = m_minted_for.find(caller);
-      minted != m_minted_for.end())
-    return RepeatStart(caller, minted->second);
-  const auto known = [&](const Start& other) { return other.caller == caller; };
+  if (const auto existing = m_program_by_start.find(caller);
+      existing != m_program_by_start.end())
+    return RepeatStart(caller, existing->second);
+  const auto known = [&](const PendingStart& other) {
+    return other.caller == caller;
+  };
   if (std::any_of(m_starts.begin(), m_starts.end(), known)) return;
   if (auto ok = CheckStart(start); !ok)
     return ReplyStart(caller, tl::make_unexpected(ok.error()));
@@ -72,22 +73,22 @@
   ReplyStart(caller, id);
 }
 
-void Coordinator::TryStart(const Start& start, Time now) {
+void Coordinator::TryStart(const PendingStart& start, Time now) {
   // Sub-agents share their parent's slot; a slot of their own could leave every
   // parent waiting for a child that gets none.
-  if (start.start.parent.IsSet()) return Mint(start, false, now);
+  if (start.start.parent.IsSet()) return CreateProgram(start, false, now);
   const Funding funding =
-      m_parts.budget.Reserve(start.start.customer, Resource::kPrograms, 1, now);
+      m_deps.budget.Reserve(start.start.customer, Resource::kPrograms, 1, now);
   switch (funding) {
     case Funding::kFunded:
-      return Mint(start, true, now);
+      return CreateProgram(start, true, now);
     case Funding::kWaiting:
       if (now - start.since < m_settings.funding_timeout) {
         m_starts.push_back(start);
         return;
       }
       [[fallthrough]];
-    case Funding::kLogDown:
+    case Funding::kLogUnavailable:
       return ReplyStart(start.caller,
                         tl::make_unexpected(Refuse(Reason::kLogUnavailable)));
     case Funding::kRefused:
@@ -96,8 +97,9 @@
   }
 }
 
-void Coordinator::Mint(const Start& start, bool holds_slot, Time now) {
-  const ProgramId id{m_self, ++m_minted};
+void Coordinator::CreateProgram(const PendingStart& start, bool owns_slot,
+                                Time now) {
+  const ProgramId id{m_self, ++m_last_number};
   Program&        program = m_programs[id];
   ProgramMeta&    meta = program.state.meta;
   meta.id = id;
@@ -108,13 +110,13 @@
   meta.parent = start.start.parent;
   meta.started = now;
   meta.last_active = now;
-  program.holds_slot = holds_slot;
-  m_parts.outbox.Push(Count{Counter::kPrograms, "started", 1});
+  program.owns_slot = owns_slot;
+  m_deps.outbox.Push(Count{Counter::kPrograms, "started", 1});
   Log(LogEvent::kProgramStarted, program, 0, "");
   const Ticket ticket = MakeMetaDurable(&program, now);
   m_started[ticket] = {start.caller, start.start, now};
   m_started_as[ticket] = id;
-  m_minted_for[start.caller] = id;
+  m_program_by_start[start.caller] = id;
 }
 
 void Coordinator::RetryStarts(const std::string& customer, Time now) {
@@ -127,7 +129,7 @@
   }
 }
 
-// ---- Ending
+// ---- PendingEnd
 
 void Coordinator::OnQuery(const NodeRef& from, const ProgramQuery& query,
                           Time now) {
@@ -138,7 +140,7 @@
   if (program->phase == ProgramPhase::kRecovering)
     return ReplyQuery(caller, tl::make_unexpected(Refuse(Reason::kNotReady)));
   if (!query.end || program->state.meta.ended)
-    return ReplyQuery(caller, program->state.Whole());
+    return ReplyQuery(caller, program->state.ToDelta());
   if (program->active || !program->waiting.empty())
     return ReplyQuery(caller, tl::make_unexpected(Refuse(Reason::kNotReady)));
   Finish(program, now);
@@ -154,12 +156,12 @@
   program->state.meta.last_active = now;
   Fire(program, ProgramEvent::kEnd);
   ReleasePrefixes(program);
-  if (program->holds_slot) {
-    program->holds_slot = false;
-    m_parts.budget.Release(program->state.meta.customer, Resource::kPrograms, 1,
-                           now);
+  if (program->owns_slot) {
+    program->owns_slot = false;
+    m_deps.budget.Release(program->state.meta.customer, Resource::kPrograms, 1,
+                          now);
   }
-  m_parts.outbox.Push(Count{Counter::kPrograms, "ended", 1});
+  m_deps.outbox.Push(Count{Counter::kPrograms, "ended", 1});
   Log(LogEvent::kProgramEnded, *program, 0, "");
   for (auto& [child_id, child] : m_programs) {
     const bool ends =
@@ -173,7 +175,7 @@
 void Coordinator::ReleasePrefixes(Program* program) {
   if (!m_safeguards.Has(Safeguard::kPrefixRelease)) return;
   for (const auto& [executor, tokens] : program->prefixes)
-    m_parts.outbox.Send(executor, ReleaseCache{program->state.meta.id});
+    m_deps.outbox.Send(executor, ReleaseCache{program->state.meta.id});
   program->prefixes.clear();
 }
 
@@ -183,22 +185,22 @@
     const ProgramMeta& meta = program.state.meta;
     const Duration     idle = now - meta.last_active;
     if (meta.ended) {
-      if (idle > m_settings.keep_ended) forgotten.push_back(id);
+      if (idle > m_settings.ended_retention) forgotten.push_back(id);
       continue;
     }
     const ContractInForce* contract =
-        m_parts.control.FindContract(meta.customer);
+        m_deps.control.FindContract(meta.customer);
     if (contract == nullptr || program.phase != ProgramPhase::kIdle) continue;
     if (!program.waiting.empty() || idle <= contract->contract.idle_timeout)
       continue;
     // The caller has vanished, or its tool hangs: engine memory and slot must
     // not stay held for it.
-    m_parts.outbox.Push(Count{Counter::kPrograms, "expired", 1});
+    m_deps.outbox.Push(Count{Counter::kPrograms, "expired", 1});
     Finish(&program, now);
     MakeMetaDurable(&program, now);
   }
   for (const auto& id : forgotten) m_programs.erase(id);
-  std::erase_if(m_minted_for, [this](const auto& entry) {
+  std::erase_if(m_program_by_start, [this](const auto& entry) {
     return !m_programs.contains(entry.second);
   });
 }
@@ -213,13 +215,13 @@
 
 Ticket Coordinator::MakeMetaDurable(Program* program, Time now) {
   ++program->state.meta.revision;
-  return m_parts.durability.MakeDurable({program->state.meta, {}}, now);
+  return m_deps.durability.MakeDurable({program->state.meta, {}}, now);
 }
 
 Ticket Coordinator::MakeTurnDurable(Program* program, const Turn& turn,
                                     Time now) {
   ++program->state.meta.revision;
-  return m_parts.durability.MakeDurable({program->state.meta, {turn}}, now);
+  return m_deps.durability.MakeDurable({program->state.meta, {turn}}, now);
 }
 
 Coordinator::Program* Coordinator::RootOf(Program* program) {
@@ -240,7 +242,7 @@
 }
 
 bool Coordinator::HasBackend(const Call& call) const {
-  const auto& members = m_parts.control.members();
+  const auto& members = m_deps.control.members();
   return std::any_of(members.begin(), members.end(), [&](const auto& entry) {
     const JoinRecord& join = entry.second.join;
     return !entry.second.IsClaimed() && join.kind == call.kind &&
@@ -251,25 +253,25 @@
 NodeRef Coordinator::Route(const Program& program, const Call& call) const {
   std::vector<NodeRef>        nodes;
   std::vector<RouteCandidate> candidates;
-  for (const auto& [node, member] : m_parts.control.members()) {
+  for (const auto& [node, member] : m_deps.control.members()) {
     if (member.join.kind != call.kind || member.join.target != call.target)
       continue;
     RouteCandidate candidate;
     candidate.is_coordinator = node == m_self;
-    const auto& peers = m_parts.membership.peers();
-    const bool  heard = candidate.is_coordinator || peers.contains(node);
+    const auto& peers = m_deps.membership.peers();
+    const bool has_load_data = candidate.is_coordinator || peers.contains(node);
     // An engine whose load is not known would look idle: leave it out, unless
     // this home came to the program from another model and knows none of its.
-    const bool  own_model =
+    const bool own_model =
         call.kind == BackendKind::kModel && call.target == m_model;
-    if (!heard && own_model) continue;
+    if (!has_load_data && own_model) continue;
     candidate.usable =
-        candidate.is_coordinator || m_parts.membership.IsUsable(node);
-    candidate.wait = candidate.is_coordinator ? m_parts.executor.LoadMs()
-                                              : m_parts.membership.LoadOf(node);
+        candidate.is_coordinator || m_deps.membership.IsUsable(node);
+    candidate.wait = candidate.is_coordinator ? m_deps.executor.LoadMs()
+                                              : m_deps.membership.LoadOf(node);
     candidate.resident = candidate.is_coordinator
-                             ? m_parts.executor.ResidentTokens()
-                             : m_parts.membership.ResidentOf(node);
+                             ? m_deps.executor.ResidentTokens()
+                             : m_deps.membership.ResidentOf(node);
     const auto prefix = program.prefixes.find(node);
     if (prefix != program.prefixes.end()) candidate.cached = prefix->second;
     nodes.push_back(node);
@@ -292,10 +294,10 @@
   RouteRequest request;
   request.prompt = EstimateTokens(program.state.Prompt());
   const ContractInForce* contract =
-      m_parts.control.FindContract(program.state.meta.customer);
+      m_deps.control.FindContract(program.state.meta.customer);
   if (contract != nullptr)
     request.cache_weight = contract->contract.cache_weight;
-  const int chosen = m_parts.routes.Choose(request, candidates);
+  const int chosen = m_deps.routes.Choose(request, candidates);
   return chosen < 0 ? NodeRef{} : nodes[static_cast<std::size_t>(chosen)];
 }
 
@@ -315,9 +317,9 @@
     reply.*value = *result;
   } else {
     reply.failure = result.error();
-    m_parts.outbox.Refused(result.error().reason);
+    m_deps.outbox.CountRefusal(result.error().reason);
   }
-  m_parts.outbox.Send(caller.entry, std::move(reply));
+  m_deps.outbox.Send(caller.entry, std::move(reply));
 }
 
 void Coordinator::Reply(const Caller& caller, const Outcome& outcome) {
@@ -341,10 +343,10 @@
   return count;
 }
 
-std::vector<ProgramDelta> Coordinator::Everything() const {
+std::vector<ProgramDelta> Coordinator::AllPrograms() const {
   std::vector<ProgramDelta> deltas;
   for (const auto& [id, program] : m_programs)
-    deltas.push_back(program.state.Whole());
+    deltas.push_back(program.state.ToDelta());
   return deltas;
 }
 
@@ -367,7 +369,7 @@
   line.program = ToString(program.state.meta.id);
   line.call = call;
   line.reason = std::string(reason);
-  m_parts.outbox.Push(std::move(line));
+  m_deps.outbox.Push(std::move(line));
 }
 
 }  // namespace yuccawick::core
--- a/src/yuccawick/core/coordinator.h
+++ b/src/yuccawick/core/coordinator.h
@@ -31,21 +31,21 @@
 namespace yuccawick::core {
 
 struct CoordinatorSettings {
-  Sequence window = 16;             // calls that may arrive ahead of order
-  Duration durable_timeout = 3000;  // ms until an answer is refused as not
-                                    // durable
-  Duration funding_timeout = 3000;  // ms a call waits for a slice
-  Duration reply_margin = 2000;     // ms past the deadline for a late reply
-  Duration unknown_after = 10000;   // ms of an executor's silence until an
-                                    // unrepeatable call counts as unknown
-  Duration fence_resend = 300;      // ms between questions to it
-  Duration keep_ended = 60000;      // ms an ended program is still known
+  Sequence window = 16;              // calls that may arrive ahead of order
+  Duration durable_timeout = 3000;   // ms until an answer is refused as not
+                                     // durable
+  Duration funding_timeout = 3000;   // ms a call waits for a slice
+  Duration reply_margin = 2000;      // ms past the deadline for a late reply
+  Duration unknown_timeout = 10000;  // ms of an executor's silence until an
+                                     // unrepeatable call counts as unknown
+  Duration fence_resend = 300;       // ms between questions to it
+  Duration ended_retention = 60000;  // ms an ended program is still known
 };
 
 class Coordinator {
  public:
   // What a home needs of its agent. All outlive the home.
-  struct Parts {
+  struct Dependencies {
     const Control&     control;
     Membership&        membership;
     Budget&            budget;
@@ -55,7 +55,7 @@
     Outbox&            outbox;
   };
   Coordinator(NodeRef self, std::string model, CoordinatorSettings settings,
-              Safeguards safeguards, Parts parts);
+              Safeguards safeguards, Dependencies parts);
 
   // Callers, by way of an entry.
   void OnStart(const NodeRef& from, const StartProgram& start, Time now);
@@ -90,7 +90,7 @@
   std::size_t                 InFlight() const;
   std::size_t                 ProgramCount() const { return m_programs.size(); }
   // State of every program, for a new replica.
-  std::vector<ProgramDelta>   Everything() const;
+  std::vector<ProgramDelta>   AllPrograms() const;
   const ProgramState*         Find(const ProgramId& id) const;
   std::optional<ProgramPhase> PhaseOf(const ProgramId& id) const;
 
@@ -100,11 +100,11 @@
     std::uint64_t request = 0;
     auto          operator<=>(const Caller&) const = default;
   };
-  struct Waiting {
+  struct WaitingCall {
     Call                call;
     std::vector<Caller> callers;
   };
-  struct Active {
+  struct ActiveCall {
     Call                call;
     std::vector<Caller> callers;
     Tokens              reserved = 0;
@@ -115,31 +115,31 @@
     Time                fence_sent = 0;
   };
   struct Program {
-    ProgramState                state;
-    ProgramPhase                phase = ProgramPhase::kIdle;
-    std::map<Sequence, Waiting> waiting;
-    std::optional<Active>       active;
-    Offset                      fence = kNoOffset;
-    NodeRef                     adopted_from;        // while history is read
-    std::map<NodeRef, Tokens>   prefixes;            // engines that hold some
-    bool                        holds_slot = false;  // of max_programs
-    Tokens                      attained = 0;
+    ProgramState                    state;
+    ProgramPhase                    phase = ProgramPhase::kIdle;
+    std::map<Sequence, WaitingCall> waiting;
+    std::optional<ActiveCall>       active;
+    Offset                          fence = kNoOffset;
+    NodeRef                         adopted_from;  // while history is read
+    std::map<NodeRef, Tokens>       prefixes;      // engines that hold some
+    bool                            owns_slot = false;  // of max_programs
+    Tokens                          attained = 0;
   };
-  struct Start {
+  struct PendingStart {
     Caller       caller;
     StartProgram start;
     Time         since = 0;
   };
-  struct Ending {
+  struct PendingEnd {
     Caller    caller;
     ProgramId program;
   };
 
   // Starting and ending.
   tl::expected<void, Failure> CheckStart(const StartProgram& start) const;
-  void                        TryStart(const Start& start, Time now);
+  void                        TryStart(const PendingStart& start, Time now);
   void RepeatStart(const Caller& caller, const ProgramId& id);
-  void Mint(const Start& start, bool holds_slot, Time now);
+  void CreateProgram(const PendingStart& start, bool owns_slot, Time now);
   void Finish(Program* program, Time now);
   void ReleasePrefixes(Program* program);
   void RetryStarts(const std::string& customer, Time now);
@@ -155,19 +155,19 @@
   void Fund(Program* program, Time now);
   void Record(Program* program, Time now);
   void Send(Program* program, Time now);
-  void Refused(Program* program, Failure failure, Time now);
-  void Failed(Program* program, Failure failure, Time now);
+  void FinishRefused(Program* program, Failure failure, Time now);
+  void FinishFailed(Program* program, Failure failure, Time now);
   void Settle(Program* program, const Answer& answer, const Failure* failure,
               Time now);
-  bool IsGivenUp(const NodeRef& node, Time now) const;
-  void Answered(Program* program, Time now);
+  bool HasLostExecutor(const NodeRef& node, Time now) const;
+  void FinishAnswered(Program* program, Time now);
   void OnTimeouts(Program* program, Time now);
   void DropLateWaiting(Program* program, Time now);
   void ExpireIdle(Time now);
 
   // Recovery.
   void ResolveIntent(Program* program, Time now);
-  void Recovered(Program* program, Time now);
+  void FinishRecovery(Program* program, Time now);
 
   // Shared.
   void     Fire(Program* program, ProgramEvent event);
@@ -193,17 +193,17 @@
   std::string         m_model;
   CoordinatorSettings m_settings;
   Safeguards          m_safeguards;
-  Parts               m_parts;
+  Dependencies        m_deps;
   bool                m_draining = false;
 
-  std::uint64_t                      m_minted = 0;
-  std::map<ProgramId, Program>       m_programs;
-  std::vector<Start>                 m_starts;   // wait for a slot
-  std::map<Ticket, Start>            m_started;  // wait to be held
-  std::map<Ticket, ProgramId>        m_started_as;
-  std::map<Caller, ProgramId>        m_minted_for;  // of programs still kept
-  std::map<Ticket, Ending>           m_ending;      // wait to be held
-  std::map<Ticket, ProgramId>        m_tickets;     // of active calls
+  std::uint64_t                  m_last_number = 0;
+  std::map<ProgramId, Program>   m_programs;
+  std::vector<PendingStart>      m_starts;   // wait for a slot
+  std::map<Ticket, PendingStart> m_started;  // wait to be held
+  std::map<Ticket, ProgramId>    m_started_as;
+  std::map<Caller, ProgramId>    m_program_by_start;  // of programs still kept
+  std::map<Ticket, PendingEnd>   m_ending;            // wait to be held
+  std::map<Ticket, ProgramId>    m_tickets;           // of active calls
   std::map<std::uint64_t, ProgramId> m_dispatches;
 };
 
--- a/src/yuccawick/core/coordinator_calls.cc
+++ b/src/yuccawick/core/coordinator_calls.cc
@@ -17,7 +17,7 @@
     const std::string& workspace) {
   const auto it = m_programs.find(id);
   if (it == m_programs.end()) {
-    const auto coordinator = m_parts.control.Resolve(id.origin);
+    const auto coordinator = m_deps.control.Resolve(id.origin);
     const bool elsewhere = coordinator.node != m_self;
     return tl::make_unexpected(
         Refuse(elsewhere ? Reason::kFenced : Reason::kUnknownProgram));
@@ -84,8 +84,8 @@
   const ProgramMeta& meta = program.state.meta;
   if (meta.ended) return refuse(Reason::kProgramEnded);
   if (m_draining) return refuse(Reason::kDraining);
-  if (m_parts.durability.IsFull()) return refuse(Reason::kLogUnavailable);
-  const ContractInForce* contract = m_parts.control.FindContract(meta.customer);
+  if (m_deps.durability.IsFull()) return refuse(Reason::kLogUnavailable);
+  const ContractInForce* contract = m_deps.control.FindContract(meta.customer);
   if (contract == nullptr) return refuse(Reason::kNoContract);
   if (call.sequence == 0) return refuse(Reason::kMalformed);
   if (call.sequence > contract->contract.max_turns)
@@ -104,7 +104,7 @@
   // Running a later call first would act on a state its program has not reached
   // yet, e.g. publish a notice before its draft is approved.
   if (!in_order && m_safeguards.Has(Safeguard::kCallOrder)) return;
-  Active active;
+  ActiveCall active;
   active.call = next->second.call;
   active.callers = std::move(next->second.callers);
   active.since = now;
@@ -115,17 +115,17 @@
 }
 
 void Coordinator::Fund(Program* program, Time now) {
-  Active&                active = *program->active;
+  ActiveCall&            active = *program->active;
   const std::string&     customer = program->state.meta.customer;
-  const ContractInForce* contract = m_parts.control.FindContract(customer);
+  const ContractInForce* contract = m_deps.control.FindContract(customer);
   if (contract == nullptr)
-    return Refused(program, Refuse(Reason::kNoContract), now);
+    return FinishRefused(program, Refuse(Reason::kNoContract), now);
   const Tokens worst = WorstCase(*program, active.call);
   Tokens&      spent = RootOf(program)->state.meta.spent;
   if (spent + worst > contract->contract.program_budget)
-    return Refused(program, Refuse(Reason::kProgramBudget), now);
+    return FinishRefused(program, Refuse(Reason::kProgramBudget), now);
   const Funding funding =
-      m_parts.budget.Reserve(customer, Resource::kTokens, worst, now);
+      m_deps.budget.Reserve(customer, Resource::kTokens, worst, now);
   switch (funding) {
     case Funding::kFunded:
       active.reserved = worst;
@@ -135,18 +135,18 @@
     case Funding::kWaiting:
       return;
     case Funding::kRefused:
-      return Refused(program, Refuse(Reason::kCustomerBudget), now);
-    case Funding::kLogDown:
-      return Refused(program, Refuse(Reason::kLogUnavailable), now);
+      return FinishRefused(program, Refuse(Reason::kCustomerBudget), now);
+    case Funding::kLogUnavailable:
+      return FinishRefused(program, Refuse(Reason::kLogUnavailable), now);
   }
 }
 
 void Coordinator::Record(Program* program, Time now) {
-  Active& active = *program->active;
+  ActiveCall& active = *program->active;
   active.since = now;
   active.executor = Route(*program, active.call);
   if (active.executor.vm.empty())
-    return Refused(program, Refuse(Reason::kBackendUnreachable), now);
+    return FinishRefused(program, Refuse(Reason::kBackendUnreachable), now);
   // Where the call is about to be sent is held before it is sent. Otherwise a
   // new owner would not know that it may have run, and would run it again.
   if (active.call.unrepeatable)
@@ -164,10 +164,10 @@
 }
 
 void Coordinator::Send(Program* program, Time now) {
-  Active&            active = *program->active;
+  ActiveCall&        active = *program->active;
   const ProgramMeta& meta = program->state.meta;
   active.since = now;
-  active.dispatch = m_parts.outbox.NextNumber();
+  active.dispatch = m_deps.outbox.NextNumber();
   m_dispatches[active.dispatch] = meta.id;
   Dispatch dispatch;
   dispatch.dispatch = active.dispatch;
@@ -181,7 +181,7 @@
     dispatch.prompt = program->state.Prompt();
     program->prefixes[active.executor] = EstimateTokens(dispatch.prompt);
   }
-  const ContractInForce* contract = m_parts.control.FindContract(meta.customer);
+  const ContractInForce* contract = m_deps.control.FindContract(meta.customer);
   if (contract != nullptr) {
     const ServiceClass* service =
         FindClass(contract->contract, meta.service_class);
@@ -190,7 +190,7 @@
     dispatch.max_wait = service->max_wait;
     dispatch.cache_weight = contract->contract.cache_weight;
   }
-  m_parts.outbox.Send(active.executor, dispatch);
+  m_deps.outbox.Send(active.executor, dispatch);
 }
 
 // ---- Outcomes
@@ -201,18 +201,18 @@
   if (it == m_dispatches.end()) return;
   const auto program = m_programs.find(it->second);
   if (program == m_programs.end() || !program->second.active) return;
-  const Active& active = *program->second.active;
+  const ActiveCall& active = *program->second.active;
   if (active.dispatch != chunk.dispatch || active.executor != from) return;
   for (const auto& caller : active.callers) {
-    m_parts.outbox.Send(caller.entry,
-                        CallChunk{caller.request, chunk.position, chunk.text});
+    m_deps.outbox.Send(caller.entry,
+                       CallChunk{caller.request, chunk.position, chunk.text});
   }
 }
 
 void Coordinator::OnDispatchReply(const NodeRef&       from,
                                   const DispatchReply& reply, Time now) {
-  m_parts.membership.OnLoad(from, static_cast<Duration>(reply.load_ms),
-                            reply.resident);
+  m_deps.membership.OnLoad(from, static_cast<Duration>(reply.load_ms),
+                           reply.resident);
   const auto it = m_dispatches.find(reply.dispatch);
   const auto found =
       it == m_dispatches.end() ? m_programs.end() : m_programs.find(it->second);
@@ -224,25 +224,25 @@
                        program->active->dispatch == reply.dispatch &&
                        program->active->executor == from;
   if (!matches) {
-    m_parts.outbox.Push(Count{Counter::kStaleMessages, "dispatch_reply", 1});
+    m_deps.outbox.Push(Count{Counter::kStaleMessages, "dispatch_reply", 1});
     return;
   }
   m_dispatches.erase(it);
   if (reply.ok) return Settle(program, reply.answer, nullptr, now);
   if (reply.failure.reason == Reason::kDraining)
-    m_parts.membership.OnLeaving(from, now);
-  Failed(program, reply.failure, now);
+    m_deps.membership.OnLeaving(from, now);
+  FinishFailed(program, reply.failure, now);
 }
 
 // The call did not run: everything reserved comes back.
-void Coordinator::Refused(Program* program, Failure failure, Time now) {
-  Active active = std::move(*program->active);
+void Coordinator::FinishRefused(Program* program, Failure failure, Time now) {
+  ActiveCall active = std::move(*program->active);
   program->active.reset();
   for (const Ticket ticket : active.tickets) m_tickets.erase(ticket);
   if (active.reserved > 0) {
     RootOf(program)->state.meta.spent -= active.reserved;
-    m_parts.budget.Release(program->state.meta.customer, Resource::kTokens,
-                           active.reserved, now);
+    m_deps.budget.Release(program->state.meta.customer, Resource::kTokens,
+                          active.reserved, now);
   }
   program->state.meta.intent = {};
   Fire(program, ProgramEvent::kRefused);
@@ -252,8 +252,8 @@
   Advance(program, now);
 }
 
-void Coordinator::Failed(Program* program, Failure failure, Time now) {
-  if (failure.ran == Ran::kNo) return Refused(program, failure, now);
+void Coordinator::FinishFailed(Program* program, Failure failure, Time now) {
+  if (failure.ran == Ran::kNo) return FinishRefused(program, failure, now);
   const bool unrepeatable = program->active->call.unrepeatable;
   if (unrepeatable && m_safeguards.Has(Safeguard::kUnknownIsFinal)) {
     if (failure.ran == Ran::kUnknown)
@@ -265,7 +265,7 @@
   if (failure.reason == Reason::kCancelled) {
     // Somebody has asked again while the call was being cancelled for a caller
     // that went away: for them it starts over.
-    Active& active = *program->active;
+    ActiveCall& active = *program->active;
     if (!active.callers.empty()) {
       program->waiting[active.call.sequence] = {
           active.call, std::exchange(active.callers, {})};
@@ -274,12 +274,12 @@
   // May be repeated: the caller issues the same sequence again. What it may
   // have cost stays spent.
   program->active->reserved = 0;
-  Refused(program, failure, now);
+  FinishRefused(program, failure, now);
 }
 
 void Coordinator::Settle(Program* program, const Answer& answer,
                          const Failure* failure, Time now) {
-  Active&      active = *program->active;
+  ActiveCall&  active = *program->active;
   ProgramMeta& meta = program->state.meta;
   Program*     root = RootOf(program);
   const Tokens actual = answer.usage.prompt + answer.usage.completion;
@@ -287,7 +287,7 @@
       failure != nullptr ? 0 : std::max<Tokens>(0, active.reserved - actual);
   if (active.call.kind == BackendKind::kModel && unused > 0) {
     root->state.meta.spent -= unused;
-    m_parts.budget.Release(meta.customer, Resource::kTokens, unused, now);
+    m_deps.budget.Release(meta.customer, Resource::kTokens, unused, now);
   }
   root->attained += actual;
   Turn turn;
@@ -306,15 +306,15 @@
   Fire(program, ProgramEvent::kAnswered);
   if (m_safeguards.Has(Safeguard::kDurableAnswer)) return;
   m_tickets.erase(*active.tickets.begin());
-  Answered(program, now);
+  FinishAnswered(program, now);
 }
 
-void Coordinator::Answered(Program* program, Time now) {
-  Active active = std::move(*program->active);
+void Coordinator::FinishAnswered(Program* program, Time now) {
+  ActiveCall active = std::move(*program->active);
   program->active.reset();
   Fire(program, ProgramEvent::kDurable);
   const Turn& turn = program->state.turns.at(active.call.sequence);
-  m_parts.outbox.Push(Count{Counter::kCalls, turn.failed ? "failed" : "ok", 1});
+  m_deps.outbox.Push(Count{Counter::kCalls, turn.failed ? "failed" : "ok", 1});
   const bool unknown = turn.failed && turn.failure.ran == Ran::kUnknown;
   Log(unknown ? LogEvent::kOutcomeUnknown : LogEvent::kCallFinished, *program,
       active.call.sequence, turn.failed ? Name(turn.failure.reason) : "");
@@ -324,18 +324,18 @@
 
 void Coordinator::OnDurable(Ticket ticket, Time now) {
   if (const auto it = m_started.find(ticket); it != m_started.end()) {
-    const Start start = it->second;
-    const auto  id = m_started_as.at(ticket);
+    const PendingStart start = it->second;
+    const auto         id = m_started_as.at(ticket);
     m_started.erase(it);
     m_started_as.erase(ticket);
     return ReplyStart(start.caller, id);
   }
   if (const auto it = m_ending.find(ticket); it != m_ending.end()) {
-    const Ending ending = it->second;
+    const PendingEnd ending = it->second;
     m_ending.erase(it);
     const auto program = m_programs.find(ending.program);
     if (program != m_programs.end())
-      ReplyQuery(ending.caller, program->second.state.Whole());
+      ReplyQuery(ending.caller, program->second.state.ToDelta());
     return;
   }
   const auto it = m_tickets.find(ticket);
@@ -352,7 +352,7 @@
     Fire(program, ProgramEvent::kRecorded);
     return Send(program, now);
   }
-  if (program->phase == ProgramPhase::kSettling) Answered(program, now);
+  if (program->phase == ProgramPhase::kSettling) FinishAnswered(program, now);
 }
 
 void Coordinator::OnFunding(const std::string& customer, Time now) {
@@ -372,7 +372,7 @@
                        program->active->dispatch == dispatch.dispatch;
   if (!matches) return;
   m_dispatches.erase(dispatch.dispatch);
-  Refused(program, Refuse(Reason::kBackendUnreachable), now);
+  FinishRefused(program, Refuse(Reason::kBackendUnreachable), now);
 }
 
 void Coordinator::OnPeerUnreachable(const NodeRef& node, Time now) {
@@ -383,41 +383,42 @@
     // A call that may be repeated is given back at once. One that may not is
     // worth waiting for: its answer may still come, and a person would have to
     // look into an unknown outcome.
-    if (program.active->call.unrepeatable && !IsGivenUp(node, now)) continue;
+    if (program.active->call.unrepeatable && !HasLostExecutor(node, now))
+      continue;
     m_dispatches.erase(program.active->dispatch);
-    Failed(&program,
-           {Reason::kBackendUnreachable, Ran::kUnknown,
-            Info(Reason::kBackendUnreachable).retry_after},
-           now);
+    FinishFailed(&program,
+                 {Reason::kBackendUnreachable, Ran::kUnknown,
+                  Info(Reason::kBackendUnreachable).retry_after},
+                 now);
   }
 }
 
-bool Coordinator::IsGivenUp(const NodeRef& node, Time now) const {
-  return m_parts.membership.IsReplaced(node) ||
-         m_parts.membership.SilentFor(node, now) > m_settings.unknown_after;
+bool Coordinator::HasLostExecutor(const NodeRef& node, Time now) const {
+  return m_deps.membership.IsReplaced(node) ||
+         m_deps.membership.SilentFor(node, now) > m_settings.unknown_timeout;
 }
 
 void Coordinator::OnTimeouts(Program* program, Time now) {
   if (!program->active) return;
-  Active&        active = *program->active;
+  ActiveCall&    active = *program->active;
   const Duration waited = now - active.since;
   switch (program->phase) {
     case ProgramPhase::kFunding:
       if (waited > m_settings.funding_timeout || now > active.call.deadline)
-        return Refused(program, Refuse(Reason::kLogUnavailable), now);
+        return FinishRefused(program, Refuse(Reason::kLogUnavailable), now);
       return Fund(program, now);
     case ProgramPhase::kRecording:
       if (waited > m_settings.durable_timeout || now > active.call.deadline)
-        return Refused(program, Refuse(Reason::kNotDurable), now);
+        return FinishRefused(program, Refuse(Reason::kNotDurable), now);
       return;
     case ProgramPhase::kRunning:
       if (now <= active.call.deadline + m_settings.reply_margin) return;
-      m_parts.outbox.Send(active.executor, CancelDispatch{active.dispatch});
+      m_deps.outbox.Send(active.executor, CancelDispatch{active.dispatch});
       m_dispatches.erase(active.dispatch);
-      return Failed(program,
-                    {Reason::kDeadline, Ran::kUnknown,
-                     Info(Reason::kDeadline).retry_after},
-                    now);
+      return FinishFailed(program,
+                          {Reason::kDeadline, Ran::kUnknown,
+                           Info(Reason::kDeadline).retry_after},
+                          now);
     case ProgramPhase::kSettling: {
       if (waited <= m_settings.durable_timeout) return;
       // The answer exists but could still be lost: the callers are told so at
@@ -433,7 +434,7 @@
 }
 
 void Coordinator::DropLateWaiting(Program* program, Time now) {
-  std::vector<Waiting> late;
+  std::vector<WaitingCall> late;
   std::erase_if(program->waiting, [&](auto& entry) {
     if (now <= entry.second.call.deadline) return false;
     late.push_back(std::move(entry.second));
@@ -460,8 +461,8 @@
                     program.phase == ProgramPhase::kRunning &&
                     !program.active->call.unrepeatable;
   if (!stop) return;
-  m_parts.outbox.Send(program.active->executor,
-                      CancelDispatch{program.active->dispatch});
+  m_deps.outbox.Send(program.active->executor,
+                     CancelDispatch{program.active->dispatch});
 }
 
 void Coordinator::OnTick(Time now) {
@@ -469,7 +470,7 @@
     DropLateWaiting(&program, now);
     if (program.phase == ProgramPhase::kRunning &&
         program.active->executor != m_self)
-      m_parts.membership.KeepWatched(program.active->executor, now);
+      m_deps.membership.ProbeTemporarily(program.active->executor, now);
     if (program.phase == ProgramPhase::kRecovering) {
       ResolveIntent(&program, now);
     } else {
@@ -488,7 +489,7 @@
     MakeMetaDurable(program, now);
     m_started.erase(ticket);
     m_started_as.erase(ticket);
-    m_minted_for.erase(caller);
+    m_program_by_start.erase(caller);
     ReplyStart(caller, tl::make_unexpected(Refuse(Reason::kNotDurable)));
   }
   ExpireIdle(now);
--- a/src/yuccawick/core/coordinator_recovery.cc
+++ b/src/yuccawick/core/coordinator_recovery.cc
@@ -13,7 +13,7 @@
     program.state.Apply(delta);
     program.fence = fence;
     program.adopted_from = target;
-    program.holds_slot = !delta.meta.parent.IsSet() && !delta.meta.ended;
+    program.owns_slot = !delta.meta.parent.IsSet() && !delta.meta.ended;
     program.attained = delta.meta.spent;
     if (delta.meta.ended) {
       Fire(&program, ProgramEvent::kEnd);
@@ -22,13 +22,13 @@
     // Others may have waited for the caller's next call; it starts afresh.
     program.state.meta.last_active = now;
     Fire(&program, ProgramEvent::kAdopted);
-    m_parts.outbox.Push(Count{Counter::kPrograms, "adopted", 1});
+    m_deps.outbox.Push(Count{Counter::kPrograms, "adopted", 1});
   }
 }
 
 void Coordinator::OnHistory(const NodeRef& target, const HistoryRecord& record,
                             Time now) {
-  const auto owner = m_parts.control.Resolve(record.coordinator);
+  const auto owner = m_deps.control.Resolve(record.coordinator);
   if (owner.node != m_self || record.coordinator == m_self) return;
   for (const auto& delta : record.deltas) {
     const auto found = m_programs.find(delta.meta.id);
@@ -43,7 +43,7 @@
     program.state.Apply(delta);
     if (!program.state.meta.ended) continue;
     Fire(&program, ProgramEvent::kEnd);
-    program.holds_slot = false;
+    program.owns_slot = false;
   }
 }
 
@@ -52,7 +52,7 @@
     if (program.adopted_from != target) continue;
     program.adopted_from = {};
     program.state.meta.fence = program.fence;
-    m_parts.durability.MakeDurable(program.state.Whole(), now);
+    m_deps.durability.MakeDurable(program.state.ToDelta(), now);
     if (program.phase == ProgramPhase::kRecovering)
       ResolveIntent(&program, now);
   }
@@ -63,9 +63,9 @@
   const Intent& intent = program->state.meta.intent;
   const bool    settled =
       !intent.IsSet() || program->state.turns.contains(intent.call.sequence);
-  if (settled) return Recovered(program, now);
+  if (settled) return FinishRecovery(program, now);
   if (!program->active) {
-    Active active;
+    ActiveCall active;
     active.call = intent.call;
     active.executor = intent.executor;
     active.since = now;
@@ -76,10 +76,10 @@
     }
     program->active = std::move(active);
   }
-  Active& active = *program->active;
-  m_parts.membership.KeepWatched(active.executor, now);
-  const bool silent = now - active.since > m_settings.unknown_after;
-  if (silent || m_parts.membership.IsReplaced(active.executor)) {
+  ActiveCall& active = *program->active;
+  m_deps.membership.ProbeTemporarily(active.executor, now);
+  const bool silent = now - active.since > m_settings.unknown_timeout;
+  if (silent || m_deps.membership.IsReplaced(active.executor)) {
     // No answer from the one place where it may have run: nobody can know.
     const Failure unknown{Reason::kOutcomeUnknown, Ran::kUnknown, 0};
     return Settle(program, {}, &unknown, now);
@@ -88,9 +88,9 @@
       now - active.fence_sent < m_settings.fence_resend)
     return;
   active.fence_sent = now;
-  m_parts.outbox.Send(active.executor,
-                      FenceCall{program->state.meta.id, active.call.sequence,
-                                program->fence, active.executor});
+  m_deps.outbox.Send(active.executor,
+                     FenceCall{program->state.meta.id, active.call.sequence,
+                               program->fence, active.executor});
 }
 
 void Coordinator::OnFenceReply(const NodeRef& from, const FenceReply& reply,
@@ -112,7 +112,7 @@
       }
       program->active.reset();
       program->state.meta.intent = {};
-      return Recovered(program, now);
+      return FinishRecovery(program, now);
     case FencedState::kRunning:
       program->active->since = now;  // alive: ask again
       return;
@@ -127,7 +127,7 @@
   Settle(program, reply.answer, ok ? nullptr : &failure, now);
 }
 
-void Coordinator::Recovered(Program* program, Time now) {
+void Coordinator::FinishRecovery(Program* program, Time now) {
   program->active.reset();
   Fire(program, ProgramEvent::kRecovered);
   Advance(program, now);
--- a/src/yuccawick/core/durability.cc
+++ b/src/yuccawick/core/durability.cc
@@ -6,12 +6,12 @@
 namespace yuccawick::core {
 namespace {
 
-constexpr std::size_t kMetaBytes = 200;     // of a delta without its turns
-constexpr std::size_t kTurnBytes = 100;     // of a turn without its texts
-constexpr Duration    kKeepEnded = 60'000;  // well past the next flush
-constexpr Duration    kKeepUnassigned = 600'000;  // a candidate copies sooner
-constexpr std::size_t kMostPerAppend = 512;
-constexpr std::size_t kMostBytesPerAppend = 1 << 20;
+constexpr std::size_t kMetaBytes = 200;          // of a delta without its turns
+constexpr std::size_t kTurnBytes = 100;          // of a turn without its texts
+constexpr Duration    kEndedRetention = 60'000;  // well past the next flush
+constexpr Duration kUnassignedRetention = 600'000;  // a candidate copies sooner
+constexpr std::size_t kMaxDeltasPerAppend = 512;
+constexpr std::size_t kMaxBytesPerAppend = 1 << 20;
 
 }  // namespace
 
@@ -26,12 +26,12 @@
 
 Durability::Durability(NodeRef self, DurabilitySettings settings,
                        const Control& control, Outbox& outbox,
-                       std::function<void(Ticket)> on_held)
+                       std::function<void(Ticket)> on_durable)
     : m_self(std::move(self)),
       m_settings(settings),
       m_control(control),
       m_outbox(outbox),
-      m_on_held(std::move(on_held)) {}
+      m_on_durable(std::move(on_durable)) {}
 
 Ticket Durability::MakeDurable(const ProgramDelta& delta, Time now) {
   const Ticket ticket = m_outbox.NextNumber();
@@ -44,9 +44,9 @@
   return ticket;
 }
 
-void Durability::SendBatch(Link* link, Ticket ticket, const ProgramDelta& delta,
-                           Time now) {
-  if (link->unacked.empty()) link->waits_since = now;
+void Durability::SendBatch(ReplicaLink* link, Ticket ticket,
+                           const ProgramDelta& delta, Time now) {
+  if (link->unacked.empty()) link->oldest_sent = now;
   link->unacked[ticket] = delta;
   link->last_sent = now;
   m_outbox.Send(link->node, Replicate{ticket, {delta}});
@@ -69,8 +69,9 @@
 
 bool Durability::AreCandidatesReady() const {
   return !m_candidate_nodes.empty() &&
-         std::all_of(m_candidates.begin(), m_candidates.end(),
-                     [](const Link& link) { return link.unacked.empty(); });
+         std::all_of(
+             m_candidates.begin(), m_candidates.end(),
+             [](const ReplicaLink& link) { return link.unacked.empty(); });
 }
 
 void Durability::DropCandidates() {
@@ -88,7 +89,7 @@
 bool Durability::OnAssigned(const std::vector<NodeRef>& replicas) {
   if (replicas.empty() || replicas == Replicas()) return false;
   if (replicas != m_candidate_nodes) return false;
-  std::vector<Link> assigned;
+  std::vector<ReplicaLink> assigned;
   for (const auto& node : replicas) {
     for (auto* links : {&m_candidates, &m_replicas}) {
       for (auto& link : *links) {
@@ -99,7 +100,8 @@
   m_replicas = std::move(assigned);
   DropCandidates();
   // What the new set has acknowledged while it was a candidate counts now.
-  for (const Ticket ticket : std::set<Ticket>(m_waiting)) HeldIfAllHave(ticket);
+  for (const Ticket ticket : std::set<Ticket>(m_waiting))
+    MarkIfReplicated(ticket);
   return true;
 }
 
@@ -109,32 +111,32 @@
   for (auto* links : {&m_candidates, &m_replicas}) {
     for (auto& link : *links) {
       if (link.node != from || link.unacked.erase(reply.batch) == 0) continue;
-      link.waits_since = now;
+      link.oldest_sent = now;
     }
   }
-  HeldIfAllHave(reply.batch);
+  MarkIfReplicated(reply.batch);
 }
 
-bool Durability::IsHeldByAll(Ticket ticket) const {
+bool Durability::IsFullyReplicated(Ticket ticket) const {
   return !m_replicas.empty() &&
          std::none_of(m_replicas.begin(), m_replicas.end(),
-                      [ticket](const Link& link) {
+                      [ticket](const ReplicaLink& link) {
                         return link.unacked.contains(ticket);
                       });
 }
 
-void Durability::HeldIfAllHave(Ticket ticket) {
-  if (IsHeldByAll(ticket)) Held(ticket);
+void Durability::MarkIfReplicated(Ticket ticket) {
+  if (IsFullyReplicated(ticket)) MarkDurable(ticket);
 }
 
-void Durability::Held(Ticket ticket) {
-  if (m_waiting.erase(ticket) > 0) m_on_held(ticket);
+void Durability::MarkDurable(Ticket ticket) {
+  if (m_waiting.erase(ticket) > 0) m_on_durable(ticket);
 }
 
 bool Durability::IsLate(Time now) const {
-  const auto late = [&](const Link& link) {
+  const auto late = [&](const ReplicaLink& link) {
     return !link.unacked.empty() &&
-           now - link.waits_since > m_settings.late_after;
+           now - link.oldest_sent > m_settings.late_after;
   };
   return m_replicas.empty() ||
          std::any_of(m_replicas.begin(), m_replicas.end(), late);
@@ -148,7 +150,7 @@
   if (now - m_last_flush >= interval) FlushNow(now);
 }
 
-void Durability::Resend(Link* link, Time now) {
+void Durability::Resend(ReplicaLink* link, Time now) {
   if (now - link->last_sent < m_settings.resend_after) return;
   link->last_sent = now;
   for (const auto& [ticket, delta] : link->unacked)
@@ -161,8 +163,8 @@
   HistoryRecord record;
   record.coordinator = m_self;
   std::size_t bytes = 0;
-  while (!m_unlogged.empty() && m_appending.size() < kMostPerAppend &&
-         bytes < kMostBytesPerAppend) {
+  while (!m_unlogged.empty() && m_appending.size() < kMaxDeltasPerAppend &&
+         bytes < kMaxBytesPerAppend) {
     Item& item = m_unlogged.front();
     bytes += item.bytes;
     record.deltas.push_back(item.delta);
@@ -217,7 +219,8 @@
   }
   // Claimed: the adopter may have read the history before the append landed.
   if (!owner) return;
-  for (const Ticket ticket : std::exchange(m_confirming, {})) Held(ticket);
+  for (const Ticket ticket : std::exchange(m_confirming, {}))
+    MarkDurable(ticket);
 }
 
 // ---- BackupStore
@@ -242,7 +245,7 @@
   const auto                it = m_coordinators.find(coordinator);
   if (it == m_coordinators.end()) return deltas;
   for (const auto& [id, state] : it->second.programs)
-    deltas.push_back(state.Whole());
+    deltas.push_back(state.ToDelta());
   m_coordinators.erase(it);
   return deltas;
 }
@@ -251,7 +254,7 @@
   for (auto& [coordinator, backup] : m_coordinators) {
     std::erase_if(backup.programs, [now](const auto& entry) {
       const ProgramMeta& meta = entry.second.meta;
-      return meta.ended && now - meta.last_active > kKeepEnded;
+      return meta.ended && now - meta.last_active > kEndedRetention;
     });
   }
   std::erase_if(m_coordinators, [&](const auto& entry) {
@@ -260,7 +263,7 @@
     if (member->IsClaimed()) return member->adopter != self;
     const bool elsewhere =
         !member->replicas.empty() && !member->HasReplica(self);
-    return elsewhere && now - entry.second.updated > kKeepUnassigned;
+    return elsewhere && now - entry.second.updated > kUnassignedRetention;
   });
 }
 
--- a/src/yuccawick/core/durability.h
+++ b/src/yuccawick/core/durability.h
@@ -31,16 +31,16 @@
   Duration flush_linger = 30;      // ms to gather a batch without a replica
   Duration resend_after = 400;     // ms without an acknowledgement
   Duration late_after = 200;       // ms until a replica counts as late
-  std::size_t most_unlogged = 16 << 20;  // bytes kept while the log is down
+  std::size_t max_unlogged = 16 << 20;  // bytes kept while the log is down
 };
 
 using Ticket = std::uint64_t;  // names one held delta
 
 class Durability {
  public:
-  // `on_held` is told each ticket once, when its delta is safe.
+  // `on_durable` is told each ticket once, when its delta is safe.
   Durability(NodeRef self, DurabilitySettings settings, const Control& control,
-             Outbox& outbox, std::function<void(Ticket)> on_held);
+             Outbox& outbox, std::function<void(Ticket)> on_durable);
 
   // Sets about holding a delta. Call order is kept towards the replica.
   Ticket MakeDurable(const ProgramDelta& delta, Time now);
@@ -76,7 +76,7 @@
   bool        IsQuiet() const { return m_waiting.empty() && IsLogged(); }
   bool        IsLogged() const { return m_unlogged.empty() && m_append == 0; }
   // Too much is waiting for the log: refuse new work.
-  bool        IsFull() const { return m_bytes > m_settings.most_unlogged; }
+  bool        IsFull() const { return m_bytes > m_settings.max_unlogged; }
   std::size_t UnloggedBytes() const { return m_bytes; }
 
  private:
@@ -86,38 +86,38 @@
     std::size_t  bytes = 0;
   };
   // Copying to one node.
-  struct Link {
+  struct ReplicaLink {
     NodeRef                        node;
     std::map<Ticket, ProgramDelta> unacked;
     Time                           last_sent = 0;
-    Time                           waits_since = 0;  // for the oldest of these
+    Time                           oldest_sent = 0;  // for the oldest of these
   };
 
-  void SendBatch(Link* link, Ticket ticket, const ProgramDelta& delta,
+  void SendBatch(ReplicaLink* link, Ticket ticket, const ProgramDelta& delta,
                  Time now);
-  void Resend(Link* link, Time now);
-  bool IsHeldByAll(Ticket ticket) const;
+  void Resend(ReplicaLink* link, Time now);
+  bool IsFullyReplicated(Ticket ticket) const;
   bool IsLate(Time now) const;
-  void HeldIfAllHave(Ticket ticket);
-  void Held(Ticket ticket);
+  void MarkIfReplicated(Ticket ticket);
+  void MarkDurable(Ticket ticket);
 
   NodeRef                     m_self;
   DurabilitySettings          m_settings;
   const Control&              m_control;
   Outbox&                     m_outbox;
-  std::function<void(Ticket)> m_on_held;
-
-  std::set<Ticket>     m_waiting;          // not yet told to be held
-  std::vector<Link>    m_replicas;         // assigned in the control stream
-  std::vector<Link>    m_candidates;       // being brought up to date
-  std::vector<NodeRef> m_candidate_nodes;  // the whole set to be assigned
-  std::deque<Item>     m_unlogged;
-  std::size_t          m_bytes = 0;    // of m_unlogged and m_appending
-  std::vector<Item>    m_appending;    // under way to the log
-  std::uint64_t        m_append = 0;   // its number; 0: none
-  std::set<Ticket>     m_unconfirmed;  // logged, control not read since
-  std::set<Ticket>     m_confirming;   // covered by m_control_read
-  std::uint64_t        m_control_read = 0;
+  std::function<void(Ticket)> m_on_durable;
+
+  std::set<Ticket>         m_waiting;          // not yet told to be held
+  std::vector<ReplicaLink> m_replicas;         // assigned in the control stream
+  std::vector<ReplicaLink> m_candidates;       // being brought up to date
+  std::vector<NodeRef>     m_candidate_nodes;  // the whole set to be assigned
+  std::deque<Item>         m_unlogged;
+  std::size_t              m_bytes = 0;    // of m_unlogged and m_appending
+  std::vector<Item>        m_appending;    // under way to the log
+  std::uint64_t            m_append = 0;   // its number; 0: none
+  std::set<Ticket>         m_unconfirmed;  // logged, control not read since
+  std::set<Ticket>         m_confirming;   // covered by m_control_read
+  std::uint64_t            m_control_read = 0;
   bool m_batch_was_full = false;  // more was waiting than one append takes
   Time m_last_flush = 0;
   Time m_retry_at = 0;
--- a/src/yuccawick/core/entry.cc
+++ b/src/yuccawick/core/entry.cc
@@ -213,11 +213,11 @@
   const auto target = Target(pending);
   if (!target) {
     if (target.error().reason == Reason::kHomeUnreachable)
-      return Park(request, now);
+      return WaitForCoordinator(request, now);
     return OnFailure(request, target.error(), now);
   }
   pending.retry_at = 0;
-  pending.parked_at = 0;
+  pending.waiting_since = 0;
   pending.sent_to = *target;
   pending.may_have_run = true;
   ++pending.attempts;
@@ -239,16 +239,17 @@
       pending.message);
 }
 
-void Entry::Park(std::uint64_t request, Time now) {
+void Entry::WaitForCoordinator(std::uint64_t request, Time now) {
   Pending& pending = m_pending.at(request);
-  if (pending.parked_at == 0) {
-    pending.parked_at = now;
-    m_outbox.Retried(Reason::kHomeUnreachable);
+  if (pending.waiting_since == 0) {
+    pending.waiting_since = now;
+    m_outbox.CountRetry(Reason::kHomeUnreachable);
   }
-  const bool over = now - pending.parked_at > m_settings.most_parked ||
-                    now >= pending.deadline;
+  const bool over =
+      now - pending.waiting_since > m_settings.max_coordinator_wait ||
+      now >= pending.deadline;
   if (over) return GiveUp(request, Refuse(Reason::kHomeUnreachable));
-  pending.retry_at = now + m_settings.retry.first_wait;
+  pending.retry_at = now + m_settings.retry.initial_wait;
 }
 
 // The final answer, at once. Whether it ran is known only if it was never sent
@@ -261,7 +262,7 @@
       it->second.may_have_run && call && failure.ran == Ran::kNo;
   if (unsure && m_safeguards.Has(Safeguard::kRanAccuracy))
     failure.ran = Ran::kUnknown;
-  m_outbox.Refused(failure.reason);
+  m_outbox.CountRefusal(failure.reason);
   m_outbox.Push(ReplyToCaller{
       request, FailureReply(it->second.message, request, failure)});
   m_pending.erase(it);
@@ -327,7 +328,7 @@
                      now < pending.deadline && !m_draining &&
                      m_retries.Take(pending.attempts);
   if (!again) return GiveUp(request, failure);
-  m_outbox.Retried(failure.reason);
+  m_outbox.CountRetry(failure.reason);
   ++pending.attempts;
   pending.retry_at =
       now + m_retries.Wait(pending.attempts - 1, failure.retry_after);
@@ -339,8 +340,8 @@
     // Sent again once there is a new home: homes tell a repeated sequence by
     // their record of it, and an unrepeatable call by its intent.
     pending.retry_at = now;
-    pending.parked_at = now;
-    m_outbox.Retried(Reason::kHomeUnreachable);
+    pending.waiting_since = now;
+    m_outbox.CountRetry(Reason::kHomeUnreachable);
   }
 }
 
--- a/src/yuccawick/core/entry.h
+++ b/src/yuccawick/core/entry.h
@@ -4,7 +4,7 @@
 // and the claims, sends the request there, and is the only node that retries:
 // what certainly did not run, and what a home recognizes by its sequence number
 // when it comes again. A home that is lost is waited for until its programs
-// have a new one, no longer than `most_parked`.
+// have a new one, no longer than `max_coordinator_wait`.
 #pragma once
 
 #include <map>
@@ -23,7 +23,8 @@
   MembershipSettings  membership;
   RetrySettings       retry;
   std::uint64_t       seed = 1;
-  Duration most_parked = 8000;        // ms to wait for a lost home's successor
+  Duration            max_coordinator_wait =
+      8000;                           // ms to wait for a lost home's successor
   Duration reply_margin = 6000;       // ms past the deadline for the reply
   Duration default_deadline = 60000;  // ms, for starts and queries
   Duration resend_after = 5000;  // ms without a word until a request is sent
@@ -52,9 +53,9 @@
     Time        arrived = 0;
     Time        deadline = 0;
     int         attempts = 0;
-    Time        retry_at = 0;   // 0: sent, waiting for the reply
-    Time        parked_at = 0;  // 0: not waiting for a new home
-    NodeRef     sent_to;        // empty: never sent
+    Time        retry_at = 0;       // 0: sent, waiting for the reply
+    Time        waiting_since = 0;  // 0: not waiting for a new home
+    NodeRef     sent_to;            // empty: never sent
     Time        sent_at = 0;
     bool        may_have_run = false;  // some attempt may have arrived
     std::string streamed;              // text already passed on
@@ -79,8 +80,8 @@
   tl::expected<NodeRef, Failure> ChooseCoordinator(const std::string& model,
                                                    std::uint64_t request) const;
   void                           Transmit(std::uint64_t request, Time now);
-  void                           Park(std::uint64_t request, Time now);
-  void                           GiveUp(std::uint64_t request, Failure failure);
+  void     WaitForCoordinator(std::uint64_t request, Time now);
+  void     GiveUp(std::uint64_t request, Failure failure);
   void     OnFailure(std::uint64_t request, const Failure& failure, Time now);
   void     OnChunk(const NodeRef& from, const CallChunk& chunk, Time now);
   void     OnReply(const NodeRef& from, std::uint64_t request, bool ok,
--- a/src/yuccawick/core/executor.cc
+++ b/src/yuccawick/core/executor.cc
@@ -10,9 +10,9 @@
 namespace {
 
 // A prompt below this part of the engine's memory is small.
-constexpr Tokens   kSmallPart = 50;
-constexpr Duration kLeastReturn = 1000;   // ms
-constexpr Duration kReturnSpread = 1000;  // ms
+constexpr Tokens   kSmallPromptDivisor = 50;
+constexpr Duration kMinRetryDelay = 1000;  // ms
+constexpr Duration kRetryJitter = 1000;    // ms
 
 }  // namespace
 
@@ -42,7 +42,7 @@
 
 void Executor::Refuse(const NodeRef& coordinator, const Dispatch& dispatch,
                       Failure failure) {
-  m_outbox.Refused(failure.reason);
+  m_outbox.CountRefusal(failure.reason);
   DispatchReply reply;
   reply.dispatch = dispatch.dispatch;
   reply.failure = failure;
@@ -129,21 +129,21 @@
     // It could not start in time: the caller is told now, with when to return.
     return Refuse(from, dispatch,
                   core::Refuse(Reason::kOverloaded,
-                               ReturnAfter(dispatch, wait - allowed)));
+                               RetryDelay(dispatch, wait - allowed)));
   }
   m_entries[key] = std::move(entry);
   m_queue.insert(key);
   StartNext(now);
 }
 
-Duration Executor::ReturnAfter(const Dispatch& dispatch, Duration least) {
+Duration Executor::RetryDelay(const Dispatch& dispatch, Duration min_delay) {
   // Callers that are all told the same moment would all be back at it; and one
   // told "in a millisecond" would only ask for ever.
   const auto spread =
       static_cast<Duration>(PairHash(ToString(dispatch.call.program),
                                      std::to_string(dispatch.dispatch)) %
-                            static_cast<std::uint64_t>(kReturnSpread));
-  return std::max(least, kLeastReturn) + spread;
+                            static_cast<std::uint64_t>(kRetryJitter));
+  return std::max(min_delay, kMinRetryDelay) + spread;
 }
 
 void Executor::OnCancel(const NodeRef& from, const CancelDispatch& cancel,
@@ -296,14 +296,14 @@
 }
 
 Duration Executor::WaitAhead(const Entry& entry, Time now) const {
-  const bool has_room = HasRoom(entry);
-  if (has_room && m_runs.size() < m_settings.slots) return 0;
+  const bool fits = FitsInMemory(entry);
+  if (fits && m_runs.size() < m_settings.slots) return 0;
   const double rank = m_policy.Rank(Describe(entry), now);
   Duration     work = 0;
   for (const auto& key : m_queue) {
     const Entry& other = m_entries.at(key);
     // What waits for room does not keep a call that has room from starting.
-    if (has_room && !HasRoom(other)) continue;
+    if (fits && !FitsInMemory(other)) continue;
     if (m_policy.Rank(Describe(other), now) <= rank) work += Estimate(other);
   }
   // Calls at the server are on average halfway through.
@@ -325,7 +325,7 @@
     double         best_rank = 0;
     for (const auto& key : m_queue) {
       const Entry& entry = m_entries.at(key);
-      if (!HasRoom(entry)) continue;
+      if (!FitsInMemory(entry)) continue;
       const double rank = m_policy.Rank(Describe(entry), now);
       if (best != nullptr && rank >= best_rank) continue;
       best = &key;
@@ -336,19 +336,19 @@
   }
 }
 
-bool Executor::HasRoom(const Entry& entry) const {
+bool Executor::FitsInMemory(const Entry& entry) const {
   const Tokens prompt = EstimateTokens(entry.order.prompt);
   const Tokens limit = m_settings.prefix_tokens;
   // More programs than fit drive each other's prefixes out, and the engine
   // computes prompts instead of answers. A new one waits until one has ended;
   // small ones are let in, since they hardly crowd and may be urgent.
-  if (limit == 0 || prompt * kSmallPart < limit) return true;
+  if (limit == 0 || prompt * kSmallPromptDivisor < limit) return true;
   if (m_runs.empty() || m_prefixes.contains(entry.order.call.program))
     return true;
   return ResidentTokens() + prompt <= limit;
 }
 
-void Executor::GiveUpLate(Time now) {
+void Executor::ExpireQueued(Time now) {
   std::vector<CallKey> late;
   for (const auto& key : m_queue) {
     const Entry& entry = m_entries.at(key);
@@ -365,14 +365,14 @@
     reply.failure = past_deadline
                         ? core::Refuse(Reason::kDeadline)
                         : core::Refuse(Reason::kOverloaded,
-                                       ReturnAfter(entry.order, LoadMs()));
-    m_outbox.Refused(reply.failure.reason);
+                                       RetryDelay(entry.order, LoadMs()));
+    m_outbox.CountRefusal(reply.failure.reason);
     Finish(key, reply, now);
   }
 }
 
 void Executor::OnTick(Time now) {
-  GiveUpLate(now);
+  ExpireQueued(now);
   for (const auto& [run, key] : m_runs) {
     Entry&     entry = m_entries.at(key);
     const bool stop = now > entry.order.call.deadline && !entry.cancelled &&
--- a/src/yuccawick/core/executor.h
+++ b/src/yuccawick/core/executor.h
@@ -92,12 +92,12 @@
   void Finish(const CallKey& key, DispatchReply reply, Time now);
   void StartNext(Time now);
   void StartRun(const CallKey& key, Time now);
-  void GiveUpLate(Time now);
+  void ExpireQueued(Time now);
   void ForgetOld(Time now);
   // True if the engine has room for the call's program beside the others.
-  bool HasRoom(const Entry& entry) const;
+  bool FitsInMemory(const Entry& entry) const;
   // When to come back, at least `least` ms from now.
-  static Duration ReturnAfter(const Dispatch& dispatch, Duration least);
+  static Duration RetryDelay(const Dispatch& dispatch, Duration min_delay);
   Duration        Estimate(const Entry& entry) const;
   Duration        WaitAhead(const Entry& entry, Time now) const;
   QueuedCall      Describe(const Entry& entry) const;
--- a/src/yuccawick/core/membership.cc
+++ b/src/yuccawick/core/membership.cc
@@ -122,10 +122,10 @@
   // would claim programs of healthy homes; give each a fresh chance instead.
   const bool paused = m_safeguards.Has(Safeguard::kPauseDetection) &&
                       pause > m_settings.suspect_after / 2;
-  std::erase_if(m_waited_for,
+  std::erase_if(m_temporary,
                 [now](const auto& entry) { return entry.second < now; });
   for (const auto& node : m_watched) Probe(node, paused, now);
-  for (const auto& [node, until] : m_waited_for) {
+  for (const auto& [node, until] : m_temporary) {
     if (!m_watched.contains(node)) Probe(node, paused, now);
   }
 }
@@ -141,11 +141,11 @@
   m_outbox.Send(node, core::Probe{m_control.version()});
 }
 
-void Membership::KeepWatched(const NodeRef& node, Time now) {
-  const bool fresh = !m_waited_for.contains(node) && !m_watched.contains(node);
+void Membership::ProbeTemporarily(const NodeRef& node, Time now) {
+  const bool fresh = !m_temporary.contains(node) && !m_watched.contains(node);
   Peer&      peer = PeerOf(node, now);
   if (fresh) peer.last_received = now;
-  m_waited_for[node] = now + m_settings.probe_interval;
+  m_temporary[node] = now + m_settings.probe_interval;
 }
 
 bool Membership::IsUsable(const NodeRef& node) const {
--- a/src/yuccawick/core/membership.h
+++ b/src/yuccawick/core/membership.h
@@ -42,7 +42,7 @@
   void Watch(const std::set<NodeRef>& peers, Time now);
 
   // Probes the node for a short while, since something here waits for it.
-  void KeepWatched(const NodeRef& node, Time now);
+  void ProbeTemporarily(const NodeRef& node, Time now);
 
   void OnMessage(const NodeRef& from, Time now);
   void OnProbeReply(const NodeRef& from, const ProbeReply& reply, Time now);
@@ -81,9 +81,9 @@
   Outbox&                     m_outbox;
   std::map<NodeRef, Peer>     m_peers;
   std::set<NodeRef>           m_watched;
-  std::map<NodeRef, Time>     m_waited_for;  // until when they are probed
-  std::map<std::string, bool> m_listed;      // VM to leaving, as last listed
-  std::set<std::string>       m_unlisted;    // were listed, are no more
+  std::map<NodeRef, Time>     m_temporary;  // until when they are probed
+  std::map<std::string, bool> m_listed;     // VM to leaving, as last listed
+  std::set<std::string>       m_unlisted;   // were listed, are no more
   Time                        m_last_tick = 0;
 };
 
--- a/src/yuccawick/core/messages.cc
+++ b/src/yuccawick/core/messages.cc
@@ -69,11 +69,11 @@
 
 void Outbox::Push(Command command) { m_commands.push_back(std::move(command)); }
 
-void Outbox::Refused(Reason reason) {
+void Outbox::CountRefusal(Reason reason) {
   Push(Count{Counter::kRefusals, Name(reason), 1});
 }
 
-void Outbox::Retried(Reason reason) {
+void Outbox::CountRetry(Reason reason) {
   Push(Count{Counter::kRetries, Name(reason), 1});
 }
 
--- a/src/yuccawick/core/messages.h
+++ b/src/yuccawick/core/messages.h
@@ -536,8 +536,8 @@
   std::uint64_t Append(std::string stream, std::vector<Record> records);
   std::uint64_t Read(std::string stream, Offset from);
   void          Push(Command command);
-  void          Refused(Reason reason);
-  void          Retried(Reason reason);
+  void          CountRefusal(Reason reason);
+  void          CountRetry(Reason reason);
 
   // A number never given before by this outbox.
   std::uint64_t        NextNumber() { return ++m_number; }
--- a/src/yuccawick/core/program.cc
+++ b/src/yuccawick/core/program.cc
@@ -48,7 +48,7 @@
   if (newer || !meta.id.IsSet()) meta = delta.meta;
 }
 
-ProgramDelta ProgramState::Whole() const {
+ProgramDelta ProgramState::ToDelta() const {
   ProgramDelta delta{meta, {}};
   delta.turns.reserve(turns.size());
   for (const auto& [sequence, turn] : turns) delta.turns.push_back(turn);
--- a/src/yuccawick/core/program.h
+++ b/src/yuccawick/core/program.h
@@ -163,7 +163,7 @@
   std::string  Prompt() const;
   void         Apply(const ProgramDelta& delta);
   // Everything, for a new replica or a rewrite in the log.
-  ProgramDelta Whole() const;
+  ProgramDelta ToDelta() const;
 };
 
 // The part of the prompt that one finished turn makes up.
--- a/src/yuccawick/core/retry.cc
+++ b/src/yuccawick/core/retry.cc
@@ -26,7 +26,7 @@
 }
 
 bool RetryBudget::Take(int attempts_made) {
-  if (attempts_made >= m_settings.most_attempts) return false;
+  if (attempts_made >= m_settings.max_attempts) return false;
   // Without a bound on retries, a node that refuses everything would be sent
   // every request many times over, just when it can least bear it.
   if (m_tokens < 1) return false;
@@ -35,10 +35,10 @@
 }
 
 Duration RetryBudget::Wait(int attempts_made, Duration asked_for) {
-  constexpr int  kMostDoublings = 16;
-  const int      doublings = std::min(attempts_made, kMostDoublings);
+  constexpr int  kMaxDoublings = 16;
+  const int      doublings = std::min(attempts_made, kMaxDoublings);
   const Duration cap =
-      std::min(m_settings.longest_wait, m_settings.first_wait << doublings);
+      std::min(m_settings.max_wait, m_settings.initial_wait << doublings);
   std::uniform_int_distribution<Duration> jitter(cap / 2, cap);
   return std::max(asked_for, jitter(m_random));
 }
--- a/src/yuccawick/core/retry.h
+++ b/src/yuccawick/core/retry.h
@@ -14,11 +14,11 @@
 namespace yuccawick::core {
 
 struct RetrySettings {
-  double   per_request = 0.2;    // retry tokens a fresh request adds
-  double   burst = 50;           // most tokens saved up
-  Duration first_wait = 50;      // ms before the first retry, doubled each time
-  Duration longest_wait = 1000;  // ms
-  int      most_attempts = 12;
+  double   per_request = 0.2;  // retry tokens a fresh request adds
+  double   burst = 50;         // most tokens saved up
+  Duration initial_wait = 50;  // ms before the first retry, doubled each time
+  Duration max_wait = 1000;    // ms
+  int      max_attempts = 12;
 };
 
 // True if the reason is a passing state of the system and the request may be
--- a/src/yuccawick/core/scheduling.cc
+++ b/src/yuccawick/core/scheduling.cc
@@ -13,12 +13,12 @@
 // At full cache weight, a token to recompute counts this many times over.
 constexpr double kCacheEmphasis = 8.0;
 constexpr double kFullWeight = 100.0;
-constexpr double kCrowdUnit = 1000.0;  // tokens
+constexpr double kResidencyUnit = 1000.0;  // tokens
 
 // A program's age is worth at most this many classes, so that old work of an
 // ordinary class never goes before a new urgent call; half of it at kHalfAge
 // ms.
-constexpr double kMostAgeClasses = 4.5;
+constexpr double kMaxAgeClasses = 4.5;
 constexpr double kHalfAge = 40'000;
 
 // Classes gained by waiting: all of them by the end of the allowed time.
@@ -60,7 +60,7 @@
 double OldestProgramQueue::Rank(const QueuedCall& call, Time now) const {
   const double aging = Aging(call, now);
   const auto   under_way = static_cast<double>(now - call.started);
-  const double age = kMostAgeClasses * under_way / (under_way + kHalfAge);
+  const double age = kMaxAgeClasses * under_way / (under_way + kHalfAge);
   return static_cast<double>(call.priority) - aging - age;
 }
 
@@ -88,10 +88,10 @@
   return Cheapest(candidates, [&](const RouteCandidate& c) {
     const auto missing =
         static_cast<double>(std::max<Tokens>(0, request.prompt - c.cached));
-    const Duration reluctance = c.is_coordinator ? 0 : m_reluctance;
-    const double   crowd =
-        m_crowding * static_cast<double>(c.resident) / kCrowdUnit;
-    return static_cast<double>(c.wait + reluctance) + crowd +
+    const Duration switch_cost = c.is_coordinator ? 0 : m_switch_cost;
+    const double   residency =
+        m_residency_cost * static_cast<double>(c.resident) / kResidencyUnit;
+    return static_cast<double>(c.wait + switch_cost) + residency +
            weight * missing / m_prefill_tokens_per_ms;
   });
 }
--- a/src/yuccawick/core/scheduling.h
+++ b/src/yuccawick/core/scheduling.h
@@ -108,19 +108,19 @@
   // pause come back, and prefixes that do not fit are computed again.
   // `reluctance`: ms by which another server must be better than the home's,
   // since what is known of its load is old and others act on it too.
-  CacheAwareRoute(double prefill_tokens_per_ms, Duration reluctance,
-                  double crowding)
+  CacheAwareRoute(double prefill_tokens_per_ms, Duration switch_cost,
+                  double residency_cost)
       : m_prefill_tokens_per_ms(prefill_tokens_per_ms),
-        m_reluctance(reluctance),
-        m_crowding(crowding) {}
+        m_switch_cost(switch_cost),
+        m_residency_cost(residency_cost) {}
   std::string_view Name() const override { return "cache_aware"; }
   int              Choose(const RouteRequest&                request,
                           const std::vector<RouteCandidate>& candidates) const override;
 
  private:
   double   m_prefill_tokens_per_ms;
-  Duration m_reluctance;
-  double   m_crowding;
+  Duration m_switch_cost;
+  double   m_residency_cost;
 };
 
 }  // namespace yuccawick::core
--- a/tests/budget_test.cc
+++ b/tests/budget_test.cc
@@ -94,7 +94,7 @@
   cr_assert_eq(s.group.TotalEffects({s.program, sequence}), 0);
 }
 
-Test(Budget, HomeKilledAgainAndAgain_ProgramBudgetHolds) {
+Test(Budget, CoordinatorKilledAgainAndAgain_ProgramBudgetHolds) {
   // The caller's program moves from home to home, each dying while the engine
   // works. What such a call may have cost stays spent.
   SmallGroup s;
@@ -133,7 +133,8 @@
   const std::string cut = kCoordinatorA;
   const auto        slice =
       s.group.agent(cut).budget().AvailableOf("sakhli", Resource::kTokens);
-  for (const auto& vm : {kCoordinatorB, kCoordinatorC, kDesk1, kDesk2})
+  for (const auto& vm :
+       {kCoordinatorB, kCoordinatorC, kAppServerA, kAppServerB})
     s.group.Cut(cut, vm);
   s.group.CutLog(cut, true);
   const core::Tokens before = SpentAtEngines(s);
--- a/tests/configuration_test.cc
+++ b/tests/configuration_test.cc
@@ -13,7 +13,7 @@
 using core::Safeguards;
 
 const std::vector<std::string> kAgents{kCoordinatorA, kCoordinatorB,
-                                       kCoordinatorC, kDesk1, kDesk2};
+                                       kCoordinatorC, kAppServerA, kAppServerB};
 
 std::int64_t TurnsAt(SmallGroup& s, const std::string& agent) {
   const auto* contract = s.group.agent(agent).control().FindContract("sakhli");
--- a/tests/fixture.h
+++ b/tests/fixture.h
@@ -14,13 +14,14 @@
 using testing::GroupSettings;
 using testing::LogMode;
 
-constexpr core::Duration kLong = 60'000;  // ms, ample for any recovery
+constexpr core::Duration kRecoveryTimeout =
+    60'000;  // ms, ample for any recovery
 
 inline const std::string kCoordinatorA = "model-a";
 inline const std::string kCoordinatorB = "model-b";
 inline const std::string kCoordinatorC = "model-c";
-inline const std::string kDesk1 = "app-a";
-inline const std::string kDesk2 = "app-b";
+inline const std::string kAppServerA = "app-a";
+inline const std::string kAppServerB = "app-b";
 
 struct SmallGroup {
   explicit SmallGroup(core::Safeguards safeguards = core::Safeguards::All(),
@@ -31,8 +32,10 @@
     group.AddAgent(kCoordinatorA, "saburtalo", core::BackendKind::kModel, "m");
     group.AddAgent(kCoordinatorB, "gldani", core::BackendKind::kModel, "m");
     group.AddAgent(kCoordinatorC, "isani", core::BackendKind::kModel, "m");
-    group.AddAgent(kDesk1, "saburtalo", core::BackendKind::kService, "booking");
-    group.AddAgent(kDesk2, "gldani", core::BackendKind::kService, "booking");
+    group.AddAgent(kAppServerA, "saburtalo", core::BackendKind::kService,
+                   "booking");
+    group.AddAgent(kAppServerB, "gldani", core::BackendKind::kService,
+                   "booking");
     group.Publish(Group::DefaultContract("sakhli"));
     settled = group.Settle();
   }
@@ -70,8 +73,8 @@
     return group.agent(vm).executor().RunningCount() > 0;
   }
   // The application server that has taken the call.
-  std::string DeskOf(core::Sequence sequence) {
-    for (const auto& vm : {kDesk1, kDesk2}) {
+  std::string AppServerOf(core::Sequence sequence) {
+    for (const auto& vm : {kAppServerA, kAppServerB}) {
       if (group.backend(vm).EffectsOf({program, sequence}) > 0) return vm;
     }
     return {};
--- a/tests/history_test.cc
+++ b/tests/history_test.cc
@@ -19,7 +19,8 @@
   for (int i = 0; i < 20; ++i) {
     const auto query =
         s.group.Query(entry, s.program, "sakhli", workspace, false);
-    s.group.AdvanceUntil([&] { return s.group.IsAnswered(query); }, kLong);
+    s.group.AdvanceUntil([&] { return s.group.IsAnswered(query); },
+                         kRecoveryTimeout);
     const auto& reply = std::get<core::ProgramReply>(*s.group.AnswerTo(query));
     if (reply.ok) return reply.program;
     if (reply.failure.retry_after == 0) return std::nullopt;
@@ -55,7 +56,7 @@
          HasTurn(ReadHistory(s, "entry-b", "w1"), 1, reply.answer.text);
 }
 
-Test(History, HomeKilledAfterAnswerWithCopiesLost_IsWhole) {
+Test(History, CoordinatorKilledAfterAnswerWithCopiesLost_IsWhole) {
   // The caller has its answer and finds it in the history afterwards. The copy
   // to the replica is lost and the home dies at once. With the safeguard the
   // answer waited for the log instead; without it the answer is gone.
@@ -64,7 +65,7 @@
   cr_assert(AnswerSurvivesCoordinator(Safeguards::All()));
 }
 
-Test(History, HomeKilledBeforeAnswer_HasTheCallOnce) {
+Test(History, CoordinatorKilledBeforeAnswer_HasTheCallOnce) {
   // The caller sees a late answer. The home dies while the engine works; the
   // new home knows the program without that turn, and the call, asked again,
   // runs there.
@@ -76,8 +77,8 @@
       s.group.Call("entry-a", s.group.ModelCall(s.program, 2, "two"));
   s.group.Advance(30);
   s.group.Kill(s.Coordinator());
-  cr_assert(
-      s.group.AdvanceUntil([&] { return s.group.IsAnswered(request); }, kLong));
+  cr_assert(s.group.AdvanceUntil([&] { return s.group.IsAnswered(request); },
+                                 kRecoveryTimeout));
   cr_assert(std::get<core::CallReply>(*s.group.AnswerTo(request)).ok);
   const auto history = ReadHistory(s, "entry-b", "w1");
   cr_assert(history.has_value());
@@ -112,7 +113,7 @@
          HasTurn(ReadHistory(s, "entry-b", "w1"), 1, reply.answer.text);
 }
 
-Test(History, ReplicasCutOffFromLogWhenHomeDies_IsWhole) {
+Test(History, ReplicasCutOffFromLogWhenCoordinatorDies_IsWhole) {
   // The caller waits until a replica reaches the log again and then finds its
   // answer. The answer is not in the log yet. If any other node could claim
   // the home meanwhile, it would own the program without that answer.
@@ -121,7 +122,7 @@
   cr_assert(OnlyTheReplicaTakesOver(Safeguards::All()));
 }
 
-Test(History, LogDownThroughManyTurnsThenHomeKilled_IsWhole) {
+Test(History, LogDownThroughManyTurnsThenCoordinatorKilled_IsWhole) {
   // The caller is answered all through the outage, since two zones hold each
   // answer. The home dies in the outage; ownership is frozen until the log is
   // back, and then every answer is there.
@@ -155,15 +156,15 @@
       s.group.Call("entry-a", s.group.ModelCall(s.program, 2, "two"));
   s.group.AdvanceUntil([&] { return s.IsBusy(s.Coordinator()); }, 1000);
   s.group.Kill(s.Replica());
-  cr_assert(
-      s.group.AdvanceUntil([&] { return s.group.IsAnswered(request); }, kLong));
+  cr_assert(s.group.AdvanceUntil([&] { return s.group.IsAnswered(request); },
+                                 kRecoveryTimeout));
   const auto& reply = std::get<core::CallReply>(*s.group.AnswerTo(request));
   cr_assert(reply.failure.reason == core::Reason::kNotDurable);
   cr_assert(reply.failure.ran == core::Ran::kYes);
   cr_assert_gt(reply.failure.retry_after, 0);
   s.group.log().SetMode(LogMode::kUp);
   const auto again = s.group.CallThrough(
-      {"entry-b"}, s.group.ModelCall(s.program, 2, "two"), kLong);
+      {"entry-b"}, s.group.ModelCall(s.program, 2, "two"), kRecoveryTimeout);
   cr_assert(again.ok);
   cr_assert_eq(s.group.TotalEffects({s.program, 2}), 1);
 }
@@ -179,7 +180,7 @@
   return HasTurn(ReadHistory(s, "entry-b", "w1"), 1, reply.answer.text);
 }
 
-Test(History, HomeAndReplicaDieTogether_IsWhole) {
+Test(History, CoordinatorAndReplicaDieTogether_IsWhole) {
   // The caller finds its answer though two VMs in two zones died at once,
   // before the log had it. With one replica the answer is gone; a random
   // schedule found that.
@@ -198,11 +199,11 @@
       s.group.CallNow("entry-a", s.group.ModelCall(s.program, 1, "one"));
   s.group.Kill(s.Coordinator());
   const auto two = s.group.CallThrough(
-      {"entry-b"}, s.group.ModelCall(s.program, 2, "two"), kLong);
+      {"entry-b"}, s.group.ModelCall(s.program, 2, "two"), kRecoveryTimeout);
   cr_assert(two.ok);
   s.group.Kill(s.CurrentCoordinator());
   const auto three = s.group.CallThrough(
-      {"entry-a"}, s.group.ModelCall(s.program, 3, "three"), kLong);
+      {"entry-a"}, s.group.ModelCall(s.program, 3, "three"), kRecoveryTimeout);
   cr_assert(three.ok, "%s", core::Name(three.failure.reason).data());
   const auto history = ReadHistory(s, "entry-b", "w1");
   cr_assert(HasTurn(history, 1, one.answer.text));
@@ -226,7 +227,7 @@
   group.Publish(Group::DefaultContract("sakhli"));
   cr_assert(group.Settle());
   const auto start = group.Start("entry-a", "sakhli", "w1", "x");
-  group.AdvanceUntil([&] { return group.IsAnswered(start); }, kLong);
+  group.AdvanceUntil([&] { return group.IsAnswered(start); }, kRecoveryTimeout);
   const auto program =
       std::get<core::StartReply>(*group.AnswerTo(start)).program;
   auto call = group.ModelCall(program, 1, "one");
@@ -235,7 +236,7 @@
   group.Kill(program.origin.vm);
   call = group.ModelCall(program, 2, "two");
   call.target = "x";
-  const auto reply = group.CallThrough({"entry-a"}, call, kLong);
+  const auto reply = group.CallThrough({"entry-a"}, call, kRecoveryTimeout);
   cr_assert(reply.ok, "%s", core::Name(reply.failure.reason).data());
   const std::string other = program.origin.vm == "x-1" ? "x-2" : "x-1";
   cr_assert_eq(group.backend(other).EffectsOf({program, 2}), 1);
@@ -291,7 +292,7 @@
   cr_assert_eq(history->turns[0].answer.text, reply.answer.text);
 }
 
-Test(History, ReplacedHomeAppendsLate_OwnersTurnStands) {
+Test(History, ReplacedCoordinatorAppendsLate_OwnersTurnStands) {
   // Nobody sees the late turn. A home frozen after its answer left the engine
   // wakes, finds itself claimed, and ends; the new owner's turn of that
   // sequence is the one in the history.
@@ -301,8 +302,8 @@
       s.group.Call("entry-a", s.group.ModelCall(s.program, 1, "one"));
   s.group.AdvanceUntil([&] { return s.IsBusy(s.Coordinator()); }, 1000);
   s.group.Freeze(s.Coordinator());
-  cr_assert(
-      s.group.AdvanceUntil([&] { return s.group.IsAnswered(request); }, kLong));
+  cr_assert(s.group.AdvanceUntil([&] { return s.group.IsAnswered(request); },
+                                 kRecoveryTimeout));
   s.group.Thaw(s.Coordinator());
   s.group.Advance(10'000);
   cr_assert_not(s.group.IsRunning(s.Coordinator()));
--- a/tests/membership_test.cc
+++ b/tests/membership_test.cc
@@ -56,7 +56,7 @@
   cr_assert_eq(s.CurrentCoordinator(), s.Coordinator());
 }
 
-Test(Membership, HomeAndReplicaCutFromEachOther_OneOwnerRemains) {
+Test(Membership, CoordinatorAndReplicaCutFromEachOther_OneOwnerRemains) {
   // The caller sees its calls answered by one owner. Coordinator and replica
   // cannot reach each other but both reach the log; the claim there ends the
   // old home.
@@ -66,8 +66,9 @@
   const std::string replica = s.Replica();
   s.group.Cut(coordinator, replica);
   s.group.Advance(8000);
-  const auto reply = s.group.CallThrough(
-      {"entry-a", "entry-b"}, s.group.ModelCall(s.program, 1, "one"), kLong);
+  const auto reply = s.group.CallThrough({"entry-a", "entry-b"},
+                                         s.group.ModelCall(s.program, 1, "one"),
+                                         kRecoveryTimeout);
   cr_assert(reply.ok, "%s", core::Name(reply.failure.reason).data());
   const bool claimed = s.CurrentCoordinator() != coordinator;
   cr_assert_eq(s.group.IsRunning(coordinator), !claimed);
@@ -78,7 +79,8 @@
   s.Start();
   const std::string first = s.Replica();
   s.group.Kill(first);
-  cr_assert(s.group.AdvanceUntil([&] { return s.Replica() != first; }, kLong));
+  cr_assert(s.group.AdvanceUntil([&] { return s.Replica() != first; },
+                                 kRecoveryTimeout));
   cr_assert_neq(s.Replica(), s.Coordinator());
 }
 
--- a/tests/memory_test.cc
+++ b/tests/memory_test.cc
@@ -9,7 +9,7 @@
 using core::Safeguard;
 using core::Safeguards;
 
-std::size_t Held(SmallGroup& s) {
+std::size_t HeldPrefixes(SmallGroup& s) {
   std::size_t held = 0;
   for (const auto& vm : {kCoordinatorA, kCoordinatorB, kCoordinatorC})
     held += s.group.backend(vm).prefixes_held();
@@ -18,7 +18,8 @@
 
 void End(SmallGroup& s) {
   const auto query = s.group.Query("entry-a", s.program, "sakhli", "w1", true);
-  s.group.AdvanceUntil([&] { return s.group.IsAnswered(query); }, kLong);
+  s.group.AdvanceUntil([&] { return s.group.IsAnswered(query); },
+                       kRecoveryTimeout);
   s.group.Advance(2000);
 }
 
@@ -26,9 +27,9 @@
   SmallGroup s(safeguards);
   s.Start();
   s.group.CallNow("entry-a", s.group.ModelCall(s.program, 1, "one"));
-  if (Held(s) == 0) return false;
+  if (HeldPrefixes(s) == 0) return false;
   End(s);
-  return Held(s) == 0;
+  return HeldPrefixes(s) == 0;
 }
 
 Test(EngineMemory, ProgramEnds_IsReleased) {
@@ -44,7 +45,7 @@
   s.Start();
   s.group.CallNow("entry-a", s.group.ModelCall(s.program, 1, "one"));
   s.group.Advance(70'000);
-  cr_assert_eq(Held(s), 0);
+  cr_assert_eq(HeldPrefixes(s), 0);
   const auto reply =
       s.group.CallNow("entry-b", s.group.ModelCall(s.program, 2, "two"));
   cr_assert(reply.failure.reason == core::Reason::kProgramEnded);
@@ -77,7 +78,7 @@
   });
   End(s);
   s.group.Advance(200'000);
-  cr_assert_eq(Held(s), 0);
+  cr_assert_eq(HeldPrefixes(s), 0);
 }
 
 Test(EngineMemory, AgentRestarted_DropsWhatItsPredecessorHeld) {
@@ -112,7 +113,7 @@
   cr_assert_eq(sequence, 6);
   cr_assert(reply.failure.reason == core::Reason::kTurnLimit);
   s.group.Advance(70'000);
-  cr_assert_eq(Held(s), 0);
+  cr_assert_eq(HeldPrefixes(s), 0);
 }
 
 Test(EngineMemory, ToolHangs_CallEndsAtItsDeadlineAndProgramGoesIdle) {
@@ -122,12 +123,13 @@
   SmallGroup s;
   s.Start();
   s.group.CallNow("entry-a", s.group.ModelCall(s.program, 1, "one"));
-  for (const auto& desk : {kDesk1, kDesk2}) s.group.backend(desk).Hold(true);
+  for (const auto& app_server : {kAppServerA, kAppServerB})
+    s.group.backend(app_server).Hold(true);
   const auto reply =
       s.group.CallNow("entry-a", s.group.ServiceCall(s.program, 2, "hang"));
   cr_assert(reply.failure.ran == core::Ran::kUnknown);
   s.group.Advance(70'000);
-  cr_assert_eq(Held(s), 0);
+  cr_assert_eq(HeldPrefixes(s), 0);
   cr_assert_eq(s.group.TotalEffects({s.program, 2}), 1);
 }
 
--- a/tests/order_test.cc
+++ b/tests/order_test.cc
@@ -38,7 +38,7 @@
         return std::all_of(requests.begin(), requests.end(),
                            [&](auto r) { return s.group.IsAnswered(r); });
       },
-      kLong);
+      kRecoveryTimeout);
   return RunOrder(s, s.program) == std::vector<core::Sequence>{1, 2, 3, 4};
 }
 
@@ -51,7 +51,7 @@
   cr_assert(CrossedCallsRunInOrder(Safeguards::All()));
 }
 
-Test(CallOrder, HomeReplacedBetweenCrossedCalls_RunsAsIssued) {
+Test(CallOrder, CoordinatorReplacedBetweenCrossedCalls_RunsAsIssued) {
   // The caller sees both answered, the second one late. Call 2 waits at the
   // home for call 1 when the home dies; the entry brings it to the new home,
   // where it waits again until call 1 comes.
@@ -62,10 +62,10 @@
   s.group.Advance(20);
   s.group.Kill(s.Coordinator());
   const auto first = s.group.CallThrough(
-      {"entry-b"}, s.group.ModelCall(s.program, 1, "first"), kLong);
+      {"entry-b"}, s.group.ModelCall(s.program, 1, "first"), kRecoveryTimeout);
   cr_assert(first.ok);
-  cr_assert(
-      s.group.AdvanceUntil([&] { return s.group.IsAnswered(second); }, kLong));
+  cr_assert(s.group.AdvanceUntil([&] { return s.group.IsAnswered(second); },
+                                 kRecoveryTimeout));
   const auto& reply = std::get<core::CallReply>(*s.group.AnswerTo(second));
   cr_assert(reply.ok, "%s", core::Name(reply.failure.reason).data());
   const std::vector<core::Sequence> order{1, 2};
@@ -76,8 +76,8 @@
   SmallGroup s;
   s.Start();
   const auto started = s.group.Start("entry-b", "sakhli", "w1", "m", s.program);
-  cr_assert(
-      s.group.AdvanceUntil([&] { return s.group.IsAnswered(started); }, kLong));
+  cr_assert(s.group.AdvanceUntil([&] { return s.group.IsAnswered(started); },
+                                 kRecoveryTimeout));
   const auto child =
       std::get<core::StartReply>(*s.group.AnswerTo(started)).program;
   cr_assert_eq(child.origin, s.program.origin);
--- a/tests/path_test.cc
+++ b/tests/path_test.cc
@@ -23,8 +23,8 @@
   cr_assert(last.ok);
   cr_assert_eq(s.group.TotalEffects({s.program, 2}), 1);
   const auto end = s.group.Query("entry-a", s.program, "sakhli", "w1", true);
-  cr_assert(
-      s.group.AdvanceUntil([&] { return s.group.IsAnswered(end); }, kLong));
+  cr_assert(s.group.AdvanceUntil([&] { return s.group.IsAnswered(end); },
+                                 kRecoveryTimeout));
   const auto& reply = std::get<core::ProgramReply>(*s.group.AnswerTo(end));
   cr_assert(reply.ok);
   cr_assert_eq(reply.program.turns.size(), 3);
@@ -32,7 +32,7 @@
   cr_assert_eq(s.group.backend(s.Coordinator()).prefixes_held(), 0);
 }
 
-Test(Program, HomeKilledBetweenTurns_GoesOnAtItsReplica) {
+Test(Program, CoordinatorKilledBetweenTurns_GoesOnAtItsReplica) {
   // The caller sees its second call answered a few seconds late. The home dies
   // between turns; its replica hears nothing for two seconds, claims it on the
   // log, and serves the next call with the history whole.
@@ -41,8 +41,9 @@
   cr_assert(
       s.group.CallNow("entry-a", s.group.ModelCall(s.program, 1, "one")).ok);
   s.group.Kill(s.Coordinator());
-  const auto reply = s.group.CallThrough(
-      {"entry-a", "entry-b"}, s.group.ModelCall(s.program, 2, "two"), kLong);
+  const auto reply = s.group.CallThrough({"entry-a", "entry-b"},
+                                         s.group.ModelCall(s.program, 2, "two"),
+                                         kRecoveryTimeout);
   cr_assert(reply.ok, "%s", core::Name(reply.failure.reason).data());
   const auto* state =
       s.group.agent(s.CurrentCoordinator()).coordinator().Find(s.program);
--- a/tests/refusal_test.cc
+++ b/tests/refusal_test.cc
@@ -36,7 +36,8 @@
   s.group.Advance(2000);
   for (const auto& vm : {kCoordinatorA, kCoordinatorB, kCoordinatorC})
     s.group.backend(vm).Hold(false);
-  s.group.AdvanceUntil([&] { return s.group.IsAnswered(kNumber); }, kLong);
+  s.group.AdvanceUntil([&] { return s.group.IsAnswered(kNumber); },
+                       kRecoveryTimeout);
   const auto& reply = std::get<core::CallReply>(*s.group.AnswerTo(kNumber));
   return reply.ok && reply.answer.text == FakeBackend::AnswerTo(call);
 }
@@ -61,7 +62,8 @@
   for (core::Sequence i = 1; i <= 8; ++i) {
     const auto call = s.group.ModelCall(s.program, i, std::to_string(i));
     const auto request = s.group.Call(i % 2 == 0 ? "entry-a" : "entry-b", call);
-    s.group.AdvanceUntil([&] { return s.group.IsAnswered(request); }, kLong);
+    s.group.AdvanceUntil([&] { return s.group.IsAnswered(request); },
+                         kRecoveryTimeout);
     const auto& reply = std::get<core::CallReply>(*s.group.AnswerTo(request));
     cr_assert_eq(reply.answer.text, FakeBackend::AnswerTo(call));
     s.group.Advance(1500);
@@ -182,10 +184,12 @@
   const auto        request =
       s.group.Call("entry-a", s.group.ServiceCall(s.program, 1, "friday 9"));
   s.group.Advance(after);
-  const std::string desk = s.DeskOf(1).empty() ? kDesk1 : s.DeskOf(1);
-  const std::string victims[] = {s.Coordinator(), desk, replica};
+  const std::string app_server =
+      s.AppServerOf(1).empty() ? kAppServerA : s.AppServerOf(1);
+  const std::string victims[] = {s.Coordinator(), app_server, replica};
   s.group.Kill(victims[victim]);
-  s.group.AdvanceUntil([&] { return s.group.IsAnswered(request); }, 2 * kLong);
+  s.group.AdvanceUntil([&] { return s.group.IsAnswered(request); },
+                       2 * kRecoveryTimeout);
   s.group.Advance(5000);
   const auto& reply = std::get<core::CallReply>(*s.group.AnswerTo(request));
   const int   effects = s.group.TotalEffects({s.program, 1});
@@ -193,7 +197,7 @@
   return reply.failure.ran != Ran::kNo || effects == 0;
 }
 
-Test(NotRun, HomeDeskOrReplicaKilledAtEachMillisecond_IsTrue) {
+Test(NotRun, CoordinatorAppServerOrReplicaKilledAtEachMillisecond_IsTrue) {
   for (int victim = 0; victim < 3; ++victim) {
     for (core::Duration after = 0; after <= 30; ++after) {
       cr_assert(TrueWhenKilled(victim, after), "victim %d after %d ms", victim,
@@ -205,19 +209,21 @@
 bool TrueWhenEntryGivesUp(Safeguards safeguards) {
   SmallGroup s(safeguards);
   s.Start();
-  for (const auto& desk : {kDesk1, kDesk2}) s.group.backend(desk).Hold(true);
+  for (const auto& app_server : {kAppServerA, kAppServerB})
+    s.group.backend(app_server).Hold(true);
   const auto request =
       s.group.Call("entry-a", s.group.ServiceCall(s.program, 1, "friday 9"));
-  s.group.AdvanceUntil([&] { return !s.DeskOf(1).empty(); }, 3000);
+  s.group.AdvanceUntil([&] { return !s.AppServerOf(1).empty(); }, 3000);
   // Nobody can take over while the log is down; the entry gives up.
   s.group.log().SetMode(LogMode::kDown);
   s.group.Freeze(s.Coordinator());
-  s.group.AdvanceUntil([&] { return s.group.IsAnswered(request); }, kLong);
+  s.group.AdvanceUntil([&] { return s.group.IsAnswered(request); },
+                       kRecoveryTimeout);
   const auto& reply = std::get<core::CallReply>(*s.group.AnswerTo(request));
   return reply.failure.ran != Ran::kNo;
 }
 
-Test(NotRun, EntryGivesUpOnSilentHome_IsNotClaimed) {
+Test(NotRun, EntryGivesUpOnSilentCoordinator_IsNotClaimed) {
   // The caller is told `unknown` and when to come back. The desk has taken the
   // call; the home falls silent in a log outage, and the entry stops waiting.
   cr_assert_not(
@@ -262,7 +268,8 @@
   const auto reason = [&](const std::string& customer,
                           const std::string& model) {
     const auto request = s.group.Start("entry-a", customer, "w1", model);
-    s.group.AdvanceUntil([&] { return s.group.IsAnswered(request); }, kLong);
+    s.group.AdvanceUntil([&] { return s.group.IsAnswered(request); },
+                         kRecoveryTimeout);
     return std::get<core::StartReply>(*s.group.AnswerTo(request))
         .failure.reason;
   };
--- a/tests/schedule_test.cc
+++ b/tests/schedule_test.cc
@@ -48,7 +48,7 @@
 }
 
 const std::vector<std::string> kNodes{kCoordinatorA, kCoordinatorB,
-                                      kCoordinatorC, kDesk1, kDesk2};
+                                      kCoordinatorC, kAppServerA, kAppServerB};
 const std::vector<std::string> kEntries{"entry-a", "entry-b"};
 constexpr int                  kPrograms = 3;
 constexpr core::Duration       kWaitUnit = 100;  // ms
@@ -74,7 +74,7 @@
       case Kind::kKill:
         return Replace(node);
       case Kind::kFreeze:
-        CountLoss(node);
+        CountFailure(node);
         group.Freeze(node);
         m_frozen.insert(node);
         return;
@@ -89,15 +89,15 @@
       case Kind::kLogUp:
         return group.log().SetMode(LogMode::kUp);
       case Kind::kLoseMessages:
-        return Disturb(Fate::kLose, step.a);
+        return DisturbMessages(Fate::kLose, step.a);
       case Kind::kRepeatMessages:
-        return Disturb(Fate::kRepeat, step.a);
+        return DisturbMessages(Fate::kRepeat, step.a);
       case Kind::kCalm:
         return group.SetFilter({});
       case Kind::kWait:
         return group.Advance(kWaitUnit * (step.a + 1));
       case Kind::kStop:
-        CountLoss(node);
+        CountFailure(node);
         if (group.IsRunning(node) && !m_frozen.contains(node)) group.Stop(node);
         return;
     }
@@ -174,7 +174,7 @@
   }
 
   void Replace(const std::string& node) {
-    CountLoss(node);
+    CountFailure(node);
     if (m_s.group.IsRunning(node)) m_s.group.Kill(node);
     m_frozen.erase(node);
     m_s.group.Advance(200);
@@ -183,8 +183,8 @@
 
   // Two homes may be lost at once; then there is calm for as long as it takes
   // to copy everything to new replicas. More at once is a known limit.
-  void CountLoss(const std::string& node) {
-    if (!node.starts_with("model") || ++m_losses % 2 == 0) return;
+  void CountFailure(const std::string& node) {
+    if (!node.starts_with("model") || ++m_failures % 2 == 0) return;
     Heal();
     m_s.group.SetFilter({});
     m_s.group.log().SetMode(LogMode::kUp);
@@ -200,7 +200,7 @@
     m_frozen.clear();
   }
 
-  void Disturb(Fate fate, int every) {
+  void DisturbMessages(Fate fate, int every) {
     const int  n = 2 + every % 7;
     const auto count = std::make_shared<int>(0);
     m_s.group.SetFilter(
@@ -260,7 +260,7 @@
       RC_ASSERT(sequence == expected++);
   }
 
-  int                  m_losses = 0;  // homes killed, frozen or stopped
+  int                  m_failures = 0;  // homes killed, frozen or stopped
   SmallGroup           m_s;
   std::vector<Program> m_programs;
   std::vector<Issued>  m_issued;
--- a/tests/stop_test.cc
+++ b/tests/stop_test.cc
@@ -15,21 +15,21 @@
 std::vector<core::VmEntry> ListWithLeaving(const std::string& leaving) {
   std::vector<core::VmEntry> list;
   for (const auto& vm :
-       {kCoordinatorA, kCoordinatorB, kCoordinatorC, kDesk1, kDesk2})
+       {kCoordinatorA, kCoordinatorB, kCoordinatorC, kAppServerA, kAppServerB})
     list.push_back({vm, "", vm == leaving});
   return list;
 }
 
 bool LeavingDeskGetsNothing(Safeguards safeguards) {
   SmallGroup s(safeguards);
-  s.group.SetVmList(ListWithLeaving(kDesk1));
+  s.group.SetVmList(ListWithLeaving(kAppServerA));
   s.group.Advance(kFewSeconds);
-  const auto before = s.group.backend(kDesk1).order().size();
+  const auto before = s.group.backend(kAppServerA).order().size();
   for (int i = 0; i < 20; ++i) {
     s.Start();
     s.group.CallNow("entry-a", s.group.ServiceCall(s.program, 1, "x"));
   }
-  return s.group.backend(kDesk1).order().size() == before;
+  return s.group.backend(kAppServerA).order().size() == before;
 }
 
 Test(Leaving, ServerListedAsLeaving_GetsNothingNew) {
@@ -47,7 +47,7 @@
   SmallGroup s;
   s.group.SetVmList(ListWithLeaving(""));
   s.group.Cut("entry-a", kCoordinatorA);
-  s.group.Cut("entry-a", kDesk1);
+  s.group.Cut("entry-a", kAppServerA);
   s.group.log().Append(
       {0,
        std::string(core::kControlStream),
@@ -60,18 +60,21 @@
 bool StoppedDeskFinishesItsCall(Safeguards safeguards) {
   SmallGroup s(safeguards);
   s.Start();
-  for (const auto& desk : {kDesk1, kDesk2}) s.group.backend(desk).Hold(true);
+  for (const auto& app_server : {kAppServerA, kAppServerB})
+    s.group.backend(app_server).Hold(true);
   const auto request =
       s.group.Call("entry-a", s.group.ServiceCall(s.program, 1, "friday 9"));
-  s.group.AdvanceUntil([&] { return !s.DeskOf(1).empty(); }, kFewSeconds);
-  s.group.Stop(s.DeskOf(1));
+  s.group.AdvanceUntil([&] { return !s.AppServerOf(1).empty(); }, kFewSeconds);
+  s.group.Stop(s.AppServerOf(1));
   s.group.Advance(1000);
-  for (const auto& desk : {kDesk1, kDesk2}) s.group.backend(desk).Hold(false);
-  s.group.AdvanceUntil([&] { return s.group.IsAnswered(request); }, kLong);
+  for (const auto& app_server : {kAppServerA, kAppServerB})
+    s.group.backend(app_server).Hold(false);
+  s.group.AdvanceUntil([&] { return s.group.IsAnswered(request); },
+                       kRecoveryTimeout);
   return std::get<core::CallReply>(*s.group.AnswerTo(request)).ok;
 }
 
-Test(PlannedStop, DeskAgentWithCallInFlight_FinishesIt) {
+Test(PlannedStop, AppServerAgentWithCallInFlight_FinishesIt) {
   // The caller sees its booking confirmed. The desk's agent is told to stop
   // while the desk works; it waits for the answer and passes it on first.
   cr_assert_not(StoppedDeskFinishesItsCall(
@@ -79,7 +82,7 @@
   cr_assert(StoppedDeskFinishesItsCall(Safeguards::All()));
 }
 
-Test(PlannedStop, HomeWithCallInFlight_AnswersThenHandsOver) {
+Test(PlannedStop, CoordinatorWithCallInFlight_AnswersThenHandsOver) {
   // The caller sees its answer, and its next call served by the new home within
   // a second or two. The home answers what it has accepted, then gives its
   // programs to the replica by a claim it appends itself.
@@ -89,11 +92,11 @@
       s.group.Call("entry-a", s.group.ModelCall(s.program, 1, "one"));
   s.group.Advance(20);
   s.group.Stop(s.Coordinator());
-  cr_assert(
-      s.group.AdvanceUntil([&] { return s.group.IsAnswered(request); }, kLong));
+  cr_assert(s.group.AdvanceUntil([&] { return s.group.IsAnswered(request); },
+                                 kRecoveryTimeout));
   cr_assert(std::get<core::CallReply>(*s.group.AnswerTo(request)).ok);
   const auto next = s.group.CallThrough(
-      {"entry-b"}, s.group.ModelCall(s.program, 2, "two"), kLong);
+      {"entry-b"}, s.group.ModelCall(s.program, 2, "two"), kRecoveryTimeout);
   cr_assert(next.ok, "%s", core::Name(next.failure.reason).data());
   s.group.Advance(5000);
   cr_assert_not(s.group.IsRunning(s.Coordinator()));
@@ -112,7 +115,7 @@
   cr_assert_not(s.group.IsRunning("entry-a"));
 }
 
-Test(PlannedStop, EntryAndHomeAtOnce_CutOffNothing) {
+Test(PlannedStop, EntryAndCoordinatorAtOnce_CutOffNothing) {
   SmallGroup s;
   s.Start();
   const auto request =
@@ -133,8 +136,8 @@
   for (int i = 0; i < 12; ++i) programs.push_back(s.Start());
   core::Sequence                 sequence = 0;
   const std::vector<std::string> nodes{
-      kCoordinatorA, kDesk1,    kCoordinatorB, kDesk2,
-      kCoordinatorC, "entry-a", "entry-b"};
+      kCoordinatorA, kAppServerA, kCoordinatorB, kAppServerB,
+      kCoordinatorC, "entry-a",   "entry-b"};
   for (const auto& vm : nodes) {
     ++sequence;
     const std::string entry = vm == "entry-a" ? "entry-b" : "entry-a";
@@ -143,14 +146,14 @@
       const auto call = sequence % 2 == 0
                             ? s.group.ServiceCall(program, sequence, "book")
                             : s.group.ModelCall(program, sequence, "say");
-      const auto reply = s.group.CallThrough({entry}, call, kLong);
+      const auto reply = s.group.CallThrough({entry}, call, kRecoveryTimeout);
       cr_assert(reply.ok, "%s at %s: %s", core::ToString(program).c_str(),
                 vm.c_str(), core::Name(reply.failure.reason).data());
       cr_assert_eq(s.group.TotalEffects({program, sequence}), 1);
     }
-    cr_assert(
-        s.group.AdvanceUntil([&] { return !s.group.IsRunning(vm); }, kLong),
-        "%s stops", vm.c_str());
+    cr_assert(s.group.AdvanceUntil([&] { return !s.group.IsRunning(vm); },
+                                   kRecoveryTimeout),
+              "%s stops", vm.c_str());
     s.group.Restart(vm);
     cr_assert(s.group.Settle(), "%s is back", vm.c_str());
   }
--- a/tests/unrepeatable_test.cc
+++ b/tests/unrepeatable_test.cc
@@ -36,16 +36,16 @@
   // once.
   SmallGroup s;
   s.Start();
-  s.group.backend(kDesk1).Hold(true);
-  s.group.backend(kDesk2).Hold(true);
+  s.group.backend(kAppServerA).Hold(true);
+  s.group.backend(kAppServerB).Hold(true);
   const auto first =
       s.group.Call("entry-a", s.group.ServiceCall(s.program, 1, "friday 9"));
   s.group.Advance(500);
   const auto second =
       s.group.Call("entry-b", s.group.ServiceCall(s.program, 1, "friday 9"));
   s.group.Advance(500);
-  s.group.backend(kDesk1).Hold(false);
-  s.group.backend(kDesk2).Hold(false);
+  s.group.backend(kAppServerA).Hold(false);
+  s.group.backend(kAppServerB).Hold(false);
   s.group.Advance(1000);
   for (const auto request : {first, second})
     cr_assert(std::get<core::CallReply>(*s.group.AnswerTo(request)).ok);
@@ -71,7 +71,7 @@
   cr_assert(OnceThoughDispatchIsRepeated(Safeguards::All()));
 }
 
-bool OnceThoughCoordinatorAndDeskDie(Safeguards safeguards) {
+bool OnceThoughCoordinatorAndAppServerDie(Safeguards safeguards) {
   SmallGroup s(safeguards);
   s.Start();
   // The copies that name the desk are lost the first time.
@@ -79,47 +79,52 @@
   s.group.SetFilter(
       [&lost](const core::NodeRef&, const core::SendMessage& send) {
         const auto* copy = std::get_if<core::Replicate>(&send.message);
-        const bool  names_desk =
+        const bool  names_app_server =
             copy != nullptr && copy->deltas[0].meta.intent.IsSet();
-        if (!names_desk || lost == 2) return Fate::kDeliver;
+        if (!names_app_server || lost == 2) return Fate::kDeliver;
         ++lost;
         return Fate::kLose;
       });
-  for (const auto& desk : {kDesk1, kDesk2}) s.group.backend(desk).Hold(true);
+  for (const auto& app_server : {kAppServerA, kAppServerB})
+    s.group.backend(app_server).Hold(true);
   s.group.Call("entry-a", s.group.ServiceCall(s.program, 1, "friday 9"));
-  s.group.AdvanceUntil([&] { return !s.DeskOf(1).empty(); }, 3000);
+  s.group.AdvanceUntil([&] { return !s.AppServerOf(1).empty(); }, 3000);
   s.group.Kill(s.Coordinator());
-  s.group.Kill(s.DeskOf(1));
-  for (const auto& desk : {kDesk1, kDesk2}) s.group.backend(desk).Hold(false);
+  s.group.Kill(s.AppServerOf(1));
+  for (const auto& app_server : {kAppServerA, kAppServerB})
+    s.group.backend(app_server).Hold(false);
   s.group.Advance(6000);
   InsistOn(s, 1);
   return Effects(s, 1) == 1;
 }
 
-Test(Unrepeatable, HomeAndDeskAgentDieAfterDispatch_RunsOnce) {
+Test(Unrepeatable, CoordinatorAndAppServerAgentDieAfterDispatch_RunsOnce) {
   // The caller is told `unknown` however often it asks. The order is under way
   // when home and desk agent die. The new home knows from its copy where the
   // call may have run; a home that sent before that copy was held would leave a
   // successor that runs it at the other desk.
-  cr_assert_not(OnceThoughCoordinatorAndDeskDie(
+  cr_assert_not(OnceThoughCoordinatorAndAppServerDie(
       Safeguards::Without(Safeguard::kIntentFirst)));
-  cr_assert(OnceThoughCoordinatorAndDeskDie(Safeguards::All()));
+  cr_assert(OnceThoughCoordinatorAndAppServerDie(Safeguards::All()));
 }
 
-Test(Unrepeatable, HomeKilledBetweenDispatchAndAnswer_AnswerIsFound) {
+Test(Unrepeatable, CoordinatorKilledBetweenDispatchAndAnswer_AnswerIsFound) {
   // The caller sees a late but true answer. The home dies while the desk works;
   // the new home fences the desk's agent, reads that the call is running, and
   // waits for its result.
   SmallGroup s;
   s.Start();
-  for (const auto& desk : {kDesk1, kDesk2}) s.group.backend(desk).Hold(true);
+  for (const auto& app_server : {kAppServerA, kAppServerB})
+    s.group.backend(app_server).Hold(true);
   s.group.Call("entry-a", s.group.ServiceCall(s.program, 1, "friday 9"));
-  s.group.AdvanceUntil([&] { return !s.DeskOf(1).empty(); }, 3000);
+  s.group.AdvanceUntil([&] { return !s.AppServerOf(1).empty(); }, 3000);
   s.group.Kill(s.Coordinator());
   s.group.Advance(4000);
-  for (const auto& desk : {kDesk1, kDesk2}) s.group.backend(desk).Hold(false);
+  for (const auto& app_server : {kAppServerA, kAppServerB})
+    s.group.backend(app_server).Hold(false);
   const auto reply = s.group.CallThrough(
-      {"entry-b"}, s.group.ServiceCall(s.program, 1, "friday 9"), kLong);
+      {"entry-b"}, s.group.ServiceCall(s.program, 1, "friday 9"),
+      kRecoveryTimeout);
   cr_assert(reply.ok, "%s", core::Name(reply.failure.reason).data());
   cr_assert_eq(Effects(s, 1), 1);
 }
@@ -162,7 +167,7 @@
   return Effects(s, 1) == 1;
 }
 
-Test(Unrepeatable, OldHomesOrderComesAfterTakeover_RunsOnce) {
+Test(Unrepeatable, OldCoordinatorsOrderComesAfterTakeover_RunsOnce) {
   // The caller has its answer from the new home. The old one was paused with
   // its order on the way; the desk does not check who gives it orders, so its
   // agent must: it was given the higher fencing number first.
@@ -171,7 +176,7 @@
   cr_assert(OnceThoughOldOrderComesLate(Safeguards::All()));
 }
 
-Test(Unrepeatable, FrozenOldHomeWakesAfterTakeover_RunsOnce) {
+Test(Unrepeatable, FrozenOldCoordinatorWakesAfterTakeover_RunsOnce) {
   // The caller has its answer from the new home. The old one wakes cut off from
   // the log, still believing that it owns the program, and is asked again.
   SmallGroup s;
@@ -179,7 +184,8 @@
   const std::string coordinator = s.Coordinator();
   s.group.Freeze(coordinator);
   const auto reply = s.group.CallThrough(
-      {"entry-b"}, s.group.ServiceCall(s.program, 1, "friday 9"), kLong);
+      {"entry-b"}, s.group.ServiceCall(s.program, 1, "friday 9"),
+      kRecoveryTimeout);
   cr_assert(reply.ok);
   s.group.CutLog(coordinator, true);
   s.group.Thaw(coordinator);
@@ -192,48 +198,50 @@
   cr_assert_eq(Effects(s, 1), 1);
 }
 
-bool OnceThoughDeskAgentIsReplaced(Safeguards safeguards) {
+bool OnceThoughAppServerAgentIsReplaced(Safeguards safeguards) {
   SmallGroup s(safeguards);
   s.Start();
   s.group.SetLateness(4000);
-  std::string desk;
+  std::string app_server;
   s.group.SetFilter([&](const core::NodeRef&, const core::SendMessage& send) {
     if (!IsDispatch(send)) return Fate::kDeliver;
-    desk = send.to.vm;
+    app_server = send.to.vm;
     return Fate::kRepeat;
   });
   s.group.Call("entry-a", s.group.ServiceCall(s.program, 1, "friday 9"));
   s.group.AdvanceUntil([&] { return Effects(s, 1) > 0; }, 3000);
-  s.group.Kill(desk);
-  s.group.Restart(desk);
+  s.group.Kill(app_server);
+  s.group.Restart(app_server);
   s.group.Advance(10'000);
   InsistOn(s, 1);
   return Effects(s, 1) == 1;
 }
 
-Test(Unrepeatable, LateCopyReachesReplacedDeskAgent_RunsOnce) {
+Test(Unrepeatable, LateCopyReachesReplacedAppServerAgent_RunsOnce) {
   // The caller is told `unknown`. The order was carried out by an agent that
   // died with its memory; a late copy reaches the next incarnation, which says
   // that it is not the one meant.
-  cr_assert_not(OnceThoughDeskAgentIsReplaced(
+  cr_assert_not(OnceThoughAppServerAgentIsReplaced(
       Safeguards::Without(Safeguard::kIncarnationCheck)));
-  cr_assert(OnceThoughDeskAgentIsReplaced(Safeguards::All()));
+  cr_assert(OnceThoughAppServerAgentIsReplaced(Safeguards::All()));
 }
 
 bool OnceThoughCallerInsists(Safeguards safeguards) {
   SmallGroup s(safeguards);
   s.Start();
-  for (const auto& desk : {kDesk1, kDesk2}) s.group.backend(desk).Hold(true);
+  for (const auto& app_server : {kAppServerA, kAppServerB})
+    s.group.backend(app_server).Hold(true);
   s.group.Call("entry-a", s.group.ServiceCall(s.program, 1, "friday 9"));
   s.group.AdvanceUntil([&] { return Effects(s, 1) > 0; }, 3000);
-  s.group.Kill(s.DeskOf(1));
-  for (const auto& desk : {kDesk1, kDesk2}) s.group.backend(desk).Hold(false);
+  s.group.Kill(s.AppServerOf(1));
+  for (const auto& app_server : {kAppServerA, kAppServerB})
+    s.group.backend(app_server).Hold(false);
   s.group.Advance(6000);
   InsistOn(s, 1);
   return Effects(s, 1) == 1;
 }
 
-Test(Unrepeatable, DeskAgentDiesAndCallerInsists_RunsOnce) {
+Test(Unrepeatable, AppServerAgentDiesAndCallerInsists_RunsOnce) {
   // The caller is told `unknown` each time it asks. The desk's agent dies while
   // the desk works. That outcome becomes the call's turn; forgetting it would
   // let the next request run at the other desk.
@@ -246,13 +254,14 @@
   // The caller sees outcome_unknown, ran unknown, and no time to come back.
   SmallGroup s;
   s.Start();
-  for (const auto& desk : {kDesk1, kDesk2}) s.group.backend(desk).Hold(true);
+  for (const auto& app_server : {kAppServerA, kAppServerB})
+    s.group.backend(app_server).Hold(true);
   const auto request =
       s.group.Call("entry-a", s.group.ServiceCall(s.program, 1, "friday 9"));
   s.group.AdvanceUntil([&] { return Effects(s, 1) > 0; }, 3000);
-  s.group.Kill(s.DeskOf(1));
-  cr_assert(
-      s.group.AdvanceUntil([&] { return s.group.IsAnswered(request); }, kLong));
+  s.group.Kill(s.AppServerOf(1));
+  cr_assert(s.group.AdvanceUntil([&] { return s.group.IsAnswered(request); },
+                                 kRecoveryTimeout));
   const auto& reply = std::get<core::CallReply>(*s.group.AnswerTo(request));
   cr_assert(reply.failure.reason == Reason::kOutcomeUnknown);
   cr_assert(reply.failure.ran == Ran::kUnknown);
