--- a/src/yuccawick/core/agent.cc
+++ b/src/yuccawick/core/agent.cc
@@ -10,13 +10,6 @@
 
 namespace yuccawick::core {
 
-// Index
-//   Events       what the daemon tells
-//   Messages     what other nodes tell
-//   Membership   joining, replica, watching
-//   Ownership    claims, adoption
-//   Stopping     planned stop
-
 Agent::Agent(AgentSettings settings, Safeguards safeguards,
              const QueuePolicy& queue_policy, const RoutePolicy& route_policy)
     : m_settings(std::move(settings)),
@@ -48,8 +41,8 @@
   return TakeCommands(now);
 }
 
-// Carries out what the agent tells itself (its home and its executor are two
-// parts of one node) and returns the rest.
+// Delivers messages that the agent sends to itself, since coordinator and
+// executor are parts of one node, and returns the other commands.
 std::vector<Command> Agent::TakeCommands(Time now) {
   std::vector<Command> out;
   while (true) {
@@ -97,8 +90,8 @@
   if (m_draining) Drain(now);
 }
 
-// What looks at every member and every backed-up program; too much for each
-// tick at 600 members, and nothing that a quarter of a second matters to.
+// Work that visits every member and every backed-up program; too expensive for
+// each tick in a large group.
 void Agent::Scan(Time now) {
   m_next_scan = now + m_settings.scan_interval;
   for (const auto& [node, peer] : m_membership.peers()) {
@@ -110,14 +103,14 @@
 }
 
 void Agent::On(const MessageReceived& event, Time now) {
-  // A message for an earlier incarnation must not be taken for ours: its
-  // numbers mean something else here.
+  // Messages to an earlier incarnation are dropped, since their numbers have
+  // another meaning here.
   const bool  addressed_here = IsMeant(event.to, m_self);
   const auto* dispatch = std::get_if<Dispatch>(&event.message);
   const auto* fence = std::get_if<FenceCall>(&event.message);
-  // These two say themselves whom they mean, and want a typed answer.
-  const bool  answers_anyway = dispatch != nullptr || fence != nullptr;
-  if (!addressed_here && !answers_anyway &&
+  // These two name their recipient and need a typed reply.
+  const bool  names_recipient = dispatch != nullptr || fence != nullptr;
+  if (!addressed_here && !names_recipient &&
       m_safeguards.Has(Safeguard::kReplyMatch)) {
     m_outbox.Push(Count{Counter::kStaleMessages, "other_incarnation", 1});
     return;
@@ -254,12 +247,12 @@
   }
   AdoptClaimed(now);
   WatchDependencies(now);
-  // An operator's drain reaches the agent as a record, like everybody else.
+  // An operator requests a drain by appending a leave record.
   if (self != nullptr && self->leaving) On(StopRequested{}, now);
   const bool superseded = self != nullptr && self->IsClaimed() && !m_draining;
   if (!superseded) return;
-  // Another node owns our programs. Whatever we still hold is out of date, so
-  // this incarnation ends; the platform starts the next one.
+  // Another node owns the programs, so the state here is out of date. This
+  // incarnation stops and the platform starts the next one.
   LogLine line;
   line.severity = Severity::kWarning;
   line.event = LogEvent::kSuperseded;
@@ -296,8 +289,8 @@
   m_tail.ReadNow(now);
 }
 
-// Those that are replicas already and well, filled up with the members that
-// back up fewest homes; each in a zone of its own as far as there are zones.
+// Keeps usable current replicas and fills up with the members that back up the
+// fewest coordinators, each in its own zone if there are enough zones.
 std::vector<NodeRef> Agent::ChooseReplicas() const {
   std::map<NodeRef, int> coordinators_backed;
   for (const auto& [node, member] : m_control.members()) {
@@ -335,7 +328,7 @@
 }
 
 bool Agent::MayBeReplica(const Member& member) const {
-  // A replica in the home's own zone would go with it.
+  // A replica in the coordinator's zone would fail together with it.
   return member.join.kind == BackendKind::kModel &&
          member.join.zone != m_settings.join.zone && !member.leaving &&
          m_membership.IsUsable(member.join.node);
@@ -361,8 +354,7 @@
     m_assigned_at = 0;
     return;
   }
-  // Assigned only when they have everything: from then on they alone may take
-  // over.
+  // Assigned only when up to date: from then on only these nodes may claim.
   if (!m_durability.AreCandidatesReady() || !MayRetry(&m_assigned_at, now))
     return;
   m_outbox.Append(std::string(kControlStream),
@@ -404,10 +396,10 @@
   if (m_settings.join.kind != BackendKind::kModel || m_draining) return;
   if (!m_executor.IsJoined()) return;
   for (const auto& [node, member] : m_control.members()) {
-    const bool lost = member.join.kind == BackendKind::kModel &&
+    const bool dead = member.join.kind == BackendKind::kModel &&
                       !member.IsClaimed() && node != m_self &&
                       m_membership.IsPresumedDead(node, now);
-    if (!lost || !m_control.MayClaim(node, m_self)) continue;
+    if (!dead || !m_control.MayClaim(node, m_self)) continue;
     if (IsFirstToClaim(node)) AppendClaim(node, m_self, now);
   }
 }
@@ -445,8 +437,8 @@
 void Agent::OnHistoryRead(const ReadDone& done, Time now) {
   const NodeRef target = m_history_reads.at(done.read);
   m_history_reads.erase(done.read);
-  // Without the log's part an answer already given could be missing: ask again
-  // until it answers; meanwhile callers' requests wait.
+  // Without the history an acknowledged answer could be missing, so the read is
+  // repeated until it succeeds. Requests of callers wait meanwhile.
   if (done.status != LogStatus::kOk) return ReadHistory(target, 0);
   Offset next = done.end;
   for (const auto& logged : done.records) {
@@ -460,7 +452,7 @@
 
 // ---- Stopping
 
-// The first replica that is well, or else the first.
+// The first usable replica, or else the first one.
 NodeRef Agent::ChooseSuccessor(const std::vector<NodeRef>& replicas) const {
   const auto usable_replica =
       std::find_if(replicas.begin(), replicas.end(),
@@ -486,8 +478,8 @@
     return AppendClaim(m_self, ChooseSuccessor(m_durability.Replicas()), now);
   const bool announced = self == nullptr || self->leaving || self->IsClaimed();
   if (!announced) return;
-  // Others read of the leave some time later. Until then their orders are
-  // refused as not run; sent to a stopped process, nobody could say that.
+  // Other nodes see the leave record later. Until then their orders are refused
+  // as not run; for a stopped process the outcome would be unknown.
   const bool in_grace_period = self != nullptr && m_left_at != 0 &&
                                now - m_left_at < m_settings.leave_grace;
   if (in_grace_period && m_safeguards.Has(Safeguard::kDrainInFlight)) return;
--- a/src/yuccawick/core/agent.h
+++ b/src/yuccawick/core/agent.h
@@ -1,10 +1,11 @@
-// The server agent's decisions: everything the process beside a backend server
-// does, without the process.
+// Decision logic of the server agent, the process beside a backend server.
 //
-// Give it events with the time; carry out the commands it returns, in order.
-// It joins by a record on the control stream, gets itself a replica in another
-// availability zone, owns programs (Coordinator), gives orders to its server
-// (Executor), and takes over the programs of homes it backs up.
+// Handle() takes one event with the current time and returns commands, which
+// the daemon carries out in order. Agent does no I/O and reads no clock. It
+// joins through a record on the control stream, keeps replicas in other
+// availability zones, owns programs (Coordinator), dispatches calls to its
+// server (Executor) and takes over the programs of failed coordinators that it
+// backs up.
 #pragma once
 
 #include <map>
@@ -23,20 +24,17 @@
 namespace yuccawick::core {
 
 struct AgentSettings {
-  JoinRecord          join;  // who and where this agent is
+  JoinRecord          join;  // identity and address of this agent
   ControlTailSettings control;
   MembershipSettings  membership;
   BudgetSettings      budget;
   DurabilitySettings  durability;
   ExecutorSettings    executor;
   CoordinatorSettings coordinator;
-  std::size_t         replicas = 2;  // copies beside the home's own, in other
-                                     // zones
-  Duration            leave_grace = 5000;   // ms a leaving agent still refuses
-                                            // orders, for others to hear of it
-  Duration            scan_interval = 250;  // ms between looks at every member
-  Duration            append_retry = 2000;  // ms until a record of ours that is
-                                            // not seen is appended again
+  std::size_t         replicas = 2;  // copies in other zones
+  Duration leave_grace = 5000;   // ms that a leaving agent still refuses orders
+  Duration scan_interval = 250;  // ms between scans of all members
+  Duration append_retry = 2000;  // ms until an unconfirmed append is repeated
 };
 
 class Agent {
@@ -48,7 +46,7 @@
 
   std::vector<Command> Handle(Time now, const Event& event);
 
-  // Inspection, for status pages and tests.
+  // State for status pages and tests.
   const Control&     control() const { return m_control; }
   const Membership&  membership() const { return m_membership; }
   const Budget&      budget() const { return m_budget; }
@@ -62,7 +60,6 @@
   const NodeRef&     self() const { return m_self; }
 
  private:
-  // Events.
   void On(const Tick& event, Time now);
   void On(const MessageReceived& event, Time now);
   void On(const CallerMessage& event, Time now);
@@ -74,12 +71,10 @@
   void On(const RunDone& event, Time now);
   void On(const StopRequested& event, Time now);
 
-  // Messages.
   void OnMessage(const NodeRef& from, const Message& message, Time now);
   void OnProbe(const NodeRef& from, const Probe& probe, Time now);
   void Scan(Time now);
 
-  // Membership and ownership.
   void                 OnControlChanged(Time now);
   void                 LogContracts();
   void                 EnsureJoined(Time now);
@@ -94,7 +89,6 @@
   void OnHistoryRead(const ReadDone& done, Time now);
   void WatchDependencies(Time now);
 
-  // Planned stop.
   NodeRef ChooseSuccessor(const std::vector<NodeRef>& replicas) const;
   void    Drain(Time now);
   bool    MayRetry(Time* last, Time now) const;
@@ -116,12 +110,12 @@
   Coordinator   m_coordinator;
 
   std::vector<Ticket>              m_durable_tickets;
-  std::set<std::string>            m_funding_changed;  // customers
+  std::set<std::string>            m_funding_changed;  // customers to retry
   std::map<std::string, Offset>    m_logged_contracts;
   std::set<NodeRef>                m_adopted;
-  std::map<std::uint64_t, NodeRef> m_history_reads;  // read to target
-  std::map<NodeRef, Time>          m_claimed_at;     // last claim appended
-  Time                             m_joined_at = 0;  // last join appended
+  std::map<std::uint64_t, NodeRef> m_history_reads;  // read to adopted node
+  std::map<NodeRef, Time>          m_claimed_at;     // time of the last claim
+  Time                             m_joined_at = 0;  // time of the last join
   Time                             m_assigned_at = 0;
   Time                             m_left_at = 0;
   Time                             m_next_scan = 0;
--- a/src/yuccawick/core/budget.cc
+++ b/src/yuccawick/core/budget.cc
@@ -26,7 +26,7 @@
   if (account.known) return Fold(logged.offset, *grant, &account);
   account.deferred.push_back(logged);
   const bool from_start = earliest == 0;
-  // A checkpoint is usable when no record after it has been dropped.
+  // A checkpoint is usable if no record after it has been dropped.
   const bool usable = grant->checkpoint.as_of != kNoOffset &&
                       grant->checkpoint.as_of >= earliest - 1;
   if (!from_start && !usable) return Effect::kVoid;
@@ -48,8 +48,8 @@
                          Account* account) {
   GrantCheckpoint& state = account->state;
   state.as_of = offset;
-  // A slice asked for under an older contract or period could exceed the total
-  // now in force; the asker reads that it is void and asks again.
+  // A slice requested under an older contract or period could exceed the
+  // current total. The holder reads that it is void and requests another.
   if (grant.amount > 0 && grant.version < state.version) return Effect::kVoid;
   if (grant.period < state.period) return Effect::kVoid;
   if (grant.period > state.period) {
@@ -144,7 +144,7 @@
 Funding Budget::RequestSlice(const std::string& customer, Account* account,
                              Resource resource, std::int64_t amount, Time now) {
   Allowance& allowance = AllowanceOf(account, resource);
-  if (now < account->log_down_until) return Funding::kLogUnavailable;
+  if (now < account->log_unavailable_until) return Funding::kLogUnavailable;
   if (account->append != 0 || account->read != 0) return Funding::kWaiting;
   if (!account->ledger.IsKnown(resource)) {
     ReadLedger(customer, account, now);
@@ -163,7 +163,7 @@
                                  : m_settings.slot_slice;
   const std::int64_t asked = std::min(left, std::max(slice, missing));
   AppendGrant(customer, account, resource, asked, now);
-  // Spending before log order has shown the slice valid would let two nodes
+  // Spending before the slice is confirmed by log order would let two nodes
   // spend the same remainder.
   if (m_safeguards.Has(Safeguard::kGrantReadBack)) return Funding::kWaiting;
   allowance.available += asked - amount;
@@ -183,7 +183,8 @@
   grant.total = TotalOf(*contract, resource);
   grant.period = AllowanceOf(account, resource).period;
   grant.checkpoint = account->ledger.state(resource);
-  // Records of the other resource may lie between; the sums still hold.
+  // Records of the other resource may lie between; they do not change these
+  // sums.
   grant.checkpoint.as_of = account->ledger.next() - 1;
   account->append = m_outbox.Append(GrantStream(customer), {grant});
   account->since = now;
@@ -202,8 +203,8 @@
   Account& account = m_accounts[customer];
   RollPeriod(*contract, &account, now);
   Allowance& allowance = AllowanceOf(&account, resource);
-  // Reserved under a total that has been lowered since: it may not be spent
-  // again, or programs would exceed what the amended contract grants.
+  // An amount reserved under a total that was lowered since must not be spent
+  // again, or programs would exceed the amended contract.
   const bool lowered = IsLowered(*contract, account, resource);
   (lowered ? allowance.releasing : allowance.available) += amount;
   m_on_change(customer);
@@ -218,11 +219,13 @@
     if (account.append != done.append || done.append == 0) continue;
     account.append = 0;
     if (done.status == LogStatus::kRefused) {
-      account.log_down_until = now + Info(Reason::kLogUnavailable).retry_after;
+      account.log_unavailable_until =
+          now + Info(Reason::kLogUnavailable).retry_after;
       m_on_change(customer);
       return;
     }
-    // Lost replies are looked up: whatever log order shows is what holds.
+    // Even after a lost reply, the stream shows whether the record was
+    // appended.
     ReadLedger(customer, &account, now);
     return;
   }
@@ -234,7 +237,7 @@
     const auto*  grant = std::get_if<GrantRecord>(&logged.record);
     if (grant == nullptr || grant->holder != m_self) continue;
     Allowance& allowance = AllowanceOf(account, grant->resource);
-    // What was given back left the purse when it was written.
+    // A released amount was withdrawn when its record was appended.
     const bool credit = effect == Effect::kApplied && grant->amount > 0 &&
                         grant->period == allowance.period &&
                         m_safeguards.Has(Safeguard::kGrantReadBack);
@@ -248,11 +251,12 @@
     if (account.read != done.read || done.read == 0) continue;
     account.read = 0;
     if (done.status != LogStatus::kOk) {
-      account.log_down_until = now + Info(Reason::kLogUnavailable).retry_after;
+      account.log_unavailable_until =
+          now + Info(Reason::kLogUnavailable).retry_after;
       m_on_change(customer);
       return;
     }
-    account.log_down_until = 0;
+    account.log_unavailable_until = 0;
     ApplyRead(done, &account);
     m_on_change(customer);
     return;
@@ -265,7 +269,8 @@
     if (pending && now - account.since > m_settings.log_timeout) {
       account.append = 0;
       account.read = 0;
-      account.log_down_until = now + Info(Reason::kLogUnavailable).retry_after;
+      account.log_unavailable_until =
+          now + Info(Reason::kLogUnavailable).retry_after;
       m_on_change(customer);
     }
     ReleaseSpare(customer, &account, Resource::kPrograms,
@@ -279,13 +284,13 @@
   Allowance&         allowance = AllowanceOf(account, resource);
   const std::int64_t spare =
       std::max<std::int64_t>(0, allowance.available - keep);
-  // Out of the purse at once, also while the log is down; and out of
-  // `returning` before the append, so that a lost reply strands the slice until
-  // the period ends but can never return it twice.
+  // Withdrawn at once, even while the log is unavailable, and removed from
+  // `releasing` before the append: after a lost reply the slice stays stranded
+  // until the period ends, but is never released twice.
   allowance.available -= spare;
   allowance.releasing += spare;
   if (allowance.releasing == 0 || account->append != 0) return;
-  if (now < account->log_down_until) return;
+  if (now < account->log_unavailable_until) return;
   if (m_control.FindContract(customer) == nullptr) return;
   AppendGrant(customer, account, resource, -allowance.releasing, now);
   allowance.releasing = 0;
--- a/src/yuccawick/core/budget.h
+++ b/src/yuccawick/core/budget.h
@@ -1,13 +1,13 @@
-// Budgets and program slots, granted in slices (escrow).
+// Token budgets and program slots, granted to nodes in slices.
 //
-// A customer's total is split by the log: a node appends a GrantRecord, reads
-// it back, and may spend the slice only once log order shows that the sum of
-// all slices stays within the total. Nothing is spent first and settled later,
-// so the total holds whatever is lost, late or cut off. A slice whose holder
-// cannot be reached counts as spent until the period ends.
+// A node appends a GrantRecord to the customer's grant stream, reads it back
+// and spends the slice only once log order shows that all slices together stay
+// within the customer's total. The total therefore holds even if messages are
+// lost or nodes are partitioned. A slice whose holder is unreachable counts as
+// spent until the period ends.
 //
-// GrantLedger   what the stream says, the same for every reader
-// Budget        this node's slices of every customer, and their refilling
+// GrantLedger   state of a grant stream, the same on every reader
+// Budget        this node's slices of every customer, and their refills
 #pragma once
 
 #include <array>
@@ -24,16 +24,16 @@
 
 class GrantLedger {
  public:
-  // Folds one record in. `earliest` is the first offset the log still holds.
+  // Applies one record. `earliest` is the first offset that the log retains.
   Effect Apply(const LoggedRecord& logged, Offset earliest);
-  // Notes that the stream has been read up to `end`.
+  // Marks the stream as read up to `end`.
   void   ReadTo(Offset end, Offset earliest);
 
-  // False until enough has been read to know the sums.
+  // False until the totals can be computed from the records read.
   bool                   IsKnown(Resource resource) const;
   const GrantCheckpoint& state(Resource resource) const;
   Offset                 next() const { return m_next; }
-  // Net amount the records read so far give to `holder`.
+  // Net amount granted to `holder` by the records read so far.
   std::int64_t OutstandingOf(Resource resource, const NodeRef& holder) const;
   const std::map<NodeRef, std::int64_t>& Outstanding(Resource resource) const;
 
@@ -53,48 +53,48 @@
 
 enum class Funding : std::uint8_t {
   kFunded,          // reserved
-  kWaiting,         // a slice has been asked for; try again when told
-  kRefused,         // the total is used up
-  kLogUnavailable,  // no slice left here and the log does not answer
+  kWaiting,         // a slice was requested; retry after on_change
+  kRefused,         // the total is exhausted
+  kLogUnavailable,  // no slice left and the log is unavailable
 };
 
 struct BudgetSettings {
-  // A slice is this part of the total, but at least what is asked for.
+  // A slice is the total divided by this, but at least the requested amount.
   std::int64_t slice_divisor = 64;
-  // Program slots are taken in slices of this size.
+  // Program slots per slice.
   std::int64_t slot_slice = 8;
-  // Unused slots above this many are given back.
+  // Unused slots above this number are released.
   std::int64_t spare_slots = 8;
-  // An append or read without an answer is given up after this long, ms.
+  // Timeout of an append or read, ms.
   Duration     log_timeout = 3000;
 };
 
 class Budget {
  public:
-  // `on_change` is called with a customer whose funding should be tried again;
-  // it must not call back at once.
+  // `on_change` is called with a customer whose reservations should be retried;
+  // it must not call back synchronously.
   Budget(NodeRef self, BudgetSettings settings, Safeguards safeguards,
          const Control& control, Outbox& outbox,
          std::function<void(const std::string&)> on_change);
 
-  // Takes `amount` out of this node's slices, or sets about getting one.
+  // Reserves `amount` from this node's slices, or requests a new slice.
   Funding Reserve(const std::string& customer, Resource resource,
                   std::int64_t amount, Time now);
-  // Gives back what was reserved and not used. Tokens of a past period are
-  // dropped: their total is no longer in force.
+  // Returns an unused reservation. Tokens of a past period are dropped, since
+  // their total no longer applies.
   void    Release(const std::string& customer, Resource resource,
                   std::int64_t amount, Time now);
-  // Slots that came with an adopted program.
+  // Adds the slots of an adopted program.
   void    Inherit(const std::string& customer, std::int64_t slots);
 
   void OnAppend(const AppendDone& done, Time now);
   void OnRead(const ReadDone& done, Time now);
   void OnTick(Time now);
-  // The contracts changed: gives slices back where a total was lowered.
+  // Called when contracts change; releases slices where a total was lowered.
   void OnContracts(Time now);
-  // Gives every unused slice back (planned stop).
+  // Releases every unused slice (planned stop).
   void ReleaseAllUnused(Time now);
-  // True if no append of a returned slice is under way.
+  // True if no append is in progress.
   bool IsQuiet() const;
 
   std::int64_t AvailableOf(const std::string& customer,
@@ -102,18 +102,18 @@
 
  private:
   struct Allowance {
-    std::int64_t available = 0;  // may be reserved
-    std::int64_t releasing = 0;  // no longer spendable, not yet written back
+    std::int64_t available = 0;  // available for reservations
+    std::int64_t releasing = 0;  // withdrawn here, release not yet appended
     std::int64_t period = 0;
   };
   struct Account {
     GrantLedger                           ledger;
     std::array<Allowance, kResourceCount> allowances;
-    std::uint64_t                         append = 0;  // under way; 0: none
-    std::uint64_t                         read = 0;    // under way; 0: none
-    Time                                  since = 0;   // of the above
-    Time                                  log_down_until = 0;
-    std::int64_t                          number = 0;  // of grants written
+    std::uint64_t                         append = 0;  // in progress; 0: none
+    std::uint64_t                         read = 0;    // in progress; 0: none
+    Time         since = 0;  // start of the append or read
+    Time         log_unavailable_until = 0;
+    std::int64_t number = 0;  // of grants appended; makes their ids unique
   };
 
   static Allowance& AllowanceOf(Account* account, Resource resource);
@@ -125,10 +125,11 @@
   void    AppendGrant(const std::string& customer, Account* account,
                       Resource resource, std::int64_t amount, Time now);
   void    ReadLedger(const std::string& customer, Account* account, Time now);
-  // Sets everything above `keep` aside and writes it back when the log allows.
+  // Withdraws everything above `keep` and releases it once the log accepts
+  // appends.
   void    ReleaseSpare(const std::string& customer, Account* account,
                        Resource resource, std::int64_t keep, Time now);
-  // True if the contract in force grants less than the slices already out.
+  // True if the contract in force grants less than has been granted already.
   bool    IsLowered(const ContractInForce& contract, const Account& account,
                     Resource resource) const;
   void    ApplyRead(const ReadDone& done, Account* account);
--- a/src/yuccawick/core/chart.cc
+++ b/src/yuccawick/core/chart.cc
@@ -11,11 +11,6 @@
 namespace yuccawick::core {
 namespace {
 
-// Index
-//   Names      tables of states, events and faults
-//   Parsing    text to transitions
-//   Loading    the charts compiled into the program
-
 // ---- Names
 
 constexpr std::array<std::string_view, 7> kFaultNames{
--- a/src/yuccawick/core/chart.h
+++ b/src/yuccawick/core/chart.h
@@ -1,16 +1,14 @@
-// State charts: which states a thing may be in and which events move it.
+// State charts: the states of an object and the events that change them.
 //
-// Charts are text files under charts/, one transition a line:
+// Charts are text files under charts/ with one transition per line:
 //
 //   # comment
 //   start  queued
 //   queued     dispatch   running
 //
-// The core interprets them; nothing else says which transition is legal. Each
-// chart is checked against the enums of its states and events when it is
-// loaded: unknown names, unreachable states and states no enum value names are
-// errors. Charts are compiled into the program as text, since VMs keep no
-// files.
+// They are compiled into the binary and are the only definition of legal
+// transitions. Loading checks each chart against the enums of its states and
+// events: unknown names, unreachable states and unused events are errors.
 #pragma once
 
 #include <cstdint>
@@ -24,19 +22,19 @@
 
 enum class ChartFault : std::uint8_t {
   kBadLine,           // neither `start S` nor `S E S`
-  kUnknownState,      // a state that the enum does not name
-  kUnknownEvent,      // an event that the enum does not name
+  kUnknownState,      // the state is not in the enum
+  kUnknownEvent,      // the event is not in the enum
   kDuplicate,         // two transitions from one state on one event
   kNoStart,           // no start line, or more than one
-  kUnreachableState,  // no path from the start leads there
+  kUnreachableState,  // not reachable from the start state
   kUnusedEvent,       // no transition uses the event
 };
 std::string_view Name(ChartFault fault);
 
 struct ChartError {
   ChartFault  fault;
-  int         line = 0;  // 1-based; 0: the chart as a whole
-  std::string word;      // the state or event at fault
+  int         line = 0;  // 1-based; 0: the whole chart
+  std::string word;      // the offending state or event
 };
 
 using NameList = std::vector<std::string_view>;
@@ -47,7 +45,7 @@
                                                const NameList&  states,
                                                const NameList&  events);
   int                                    start() const { return m_start; }
-  // The next state, or -1 if the event is not allowed there.
+  // The next state, or -1 if the event is not allowed in `state`.
   int                                    Next(int state, int event) const;
 
  private:
@@ -60,7 +58,7 @@
   std::vector<int> m_next;  // [state * events + event]
 };
 
-// A chart whose states and events are enums counted from 0.
+// A chart whose states and events are enums that count from 0.
 template <class State, class Event>
 class TypedChart {
  public:
@@ -70,7 +68,8 @@
   bool  Allows(State state, Event event) const {
      return m_chart.Next(Index(state), Index(event)) >= 0;
   }
-  // Moves `state` on; false, and no move, if the chart has no such transition.
+  // Applies `event` to `state`. Returns false and leaves `state` unchanged if
+  // the chart has no such transition.
   bool Fire(State* state, Event event) const {
     const int next = m_chart.Next(Index(*state), Index(event));
     if (next < 0) return false;
@@ -86,8 +85,8 @@
   Chart m_chart;
 };
 
-// The charts of this project, parsed once; a chart that does not load ends the
-// process with the fault, since nothing can be decided without it.
+// The built-in charts, parsed on first use. A chart that fails to load aborts
+// the process with a message.
 enum class ProgramPhase : std::uint8_t {
   kIdle,
   kFunding,
@@ -136,7 +135,7 @@
 std::string_view Name(PeerPhase phase);
 std::string_view Name(ConfigPhase phase);
 
-// One chart as it was compiled in, with the names it is checked against.
+// The text of one built-in chart and the names that it is checked against.
 struct ChartSource {
   std::string_view name;
   std::string_view text;
--- a/src/yuccawick/core/contract.h
+++ b/src/yuccawick/core/contract.h
@@ -1,9 +1,9 @@
-// A customer's contract: the only thing an operator sets.
+// A customer's contract: limits, priorities, budgets and waiting times.
 //
-// Limits, priority, budget and waiting time of every program follow from the
-// contract in force. A contract's version is the log offset of its record; an
-// amendment names the version it amends, and log order decides which of two
-// amendments of one version wins (see control.h).
+// Operators publish contracts; programs are governed by the contract in force.
+// A contract's version is the log offset of its record. An amendment names the
+// version it replaces; of two amendments of one version, the first in log order
+// takes effect (see control.h).
 #pragma once
 
 #include <string>
@@ -14,11 +14,11 @@
 
 namespace yuccawick::core {
 
-// One class of work under a contract, chosen when a program starts.
+// One class of work, selected when a program starts.
 struct ServiceClass {
   std::string  name;          // e.g. "urgent", "routine"
   std::int64_t priority = 5;  // 0 is served first, 9 last
-  Duration     max_wait = 0;  // ms a call may wait for a backend server
+  Duration     max_wait = 0;  // ms that a call may wait for a backend server
 
   bool operator==(const ServiceClass&) const = default;
   template <class V>
@@ -30,15 +30,15 @@
 };
 
 struct Contract {
-  std::string               customer;            // [a-z0-9-]
-  std::int64_t              max_programs = 0;    // under way at once
-  std::int64_t              max_turns = 0;       // calls per program
-  Tokens                    program_budget = 0;  // per program, sub-agents in
-  Tokens                    total_budget = 0;    // per period, all programs
-  Duration                  period = 0;          // ms
-  Duration                  idle_timeout = 0;    // ms until a program is ended
-  std::int64_t              cache_weight = 50;   // 0 latency .. 100 cache
-  std::vector<ServiceClass> classes;             // the first is the default
+  std::string  customer;            // [a-z0-9-]
+  std::int64_t max_programs = 0;    // running at the same time
+  std::int64_t max_turns = 0;       // calls per program
+  Tokens       program_budget = 0;  // per program, including sub-agents
+  Tokens       total_budget = 0;    // per period, for all programs
+  Duration     period = 0;          // ms
+  Duration     idle_timeout = 0;    // ms of inactivity until a program is ended
+  std::int64_t cache_weight = 50;   // 0: favor latency, 100: favor cache hits
+  std::vector<ServiceClass> classes;  // the first is the default
 
   bool operator==(const Contract&) const = default;
   template <class V>
@@ -73,10 +73,10 @@
 };
 std::string_view Name(ContractFault fault);
 
-// Every fault of the contract, none when it may be published.
+// All faults of the contract; empty if it may be published.
 std::vector<ContractFault> Validate(const Contract& contract);
 
-// The class of that name; the default for an empty name; null if unknown.
+// The class called `name`; the first class if `name` is empty; null if unknown.
 const ServiceClass* FindClass(const Contract& contract, std::string_view name);
 
 }  // namespace yuccawick::core
--- a/src/yuccawick/core/control.cc
+++ b/src/yuccawick/core/control.cc
@@ -5,10 +5,10 @@
 namespace yuccawick::core {
 namespace {
 
-// Claimed members are kept this many control records, so that tokens minted by
-// them still lead to their programs. At 500 records a day that is 16 days.
+// Control records for which a claimed member is kept, so that program ids
+// created by it still lead to the current owner.
 constexpr Offset kClaimedRetention = 8192;
-// A chain of claims longer than this is a fold gone wrong.
+// Limit of a chain of claims; guards against a cycle in a corrupt state.
 constexpr int    kMaxClaimChain = 64;
 
 }  // namespace
@@ -24,8 +24,8 @@
 }
 
 Effect Control::Apply(const LoggedRecord& logged) {
-  // A late or repeated read may bring records from below; taking one would
-  // bring back a contract that has been amended since.
+  // A late or repeated read may return older records; applying one could
+  // restore a contract that has been amended since.
   const bool newer_only = m_safeguards.Has(Safeguard::kNewerControlOnly);
   if (newer_only && logged.offset <= m_version) return Effect::kOld;
   const Effect effect = std::visit(
@@ -95,8 +95,8 @@
   if (by == nullptr || by->IsClaimed() || target == adopter) return false;
   if (member->HasReplica(adopter)) return true;
   if (!m_safeguards.Has(Safeguard::kReplicaClaimsOnly)) return true;
-  // Whoever is not a replica may miss answers already acknowledged. Only when
-  // all replicas have been taken over is the log the best copy left.
+  // A node that is not a replica may miss acknowledged answers. Only when all
+  // replicas have been claimed is the log the best remaining copy.
   return std::all_of(member->replicas.begin(), member->replicas.end(),
                      [this](const NodeRef& node) {
                        const Member* replica = FindMember(node);
@@ -106,8 +106,8 @@
 
 Effect Control::Fold(Offset offset, const JoinRecord& record) {
   if (FindMember(record.node) != nullptr) return Effect::kVoid;
-  // An application server's agent owns no programs, so nobody ever claims it:
-  // its record goes when the next one joins on that VM.
+  // Agents of application servers own no programs and are never claimed, so the
+  // record is dropped when the next agent joins on that VM.
   const Member* older = FindVm(record.node.vm);
   if (older != nullptr && older->join.kind == BackendKind::kService)
     m_members.erase(NodeRef(older->join.node));
@@ -150,8 +150,8 @@
 Effect Control::Fold(Offset offset, const ContractRecord& record) {
   const ContractInForce* current = FindContract(record.contract.customer);
   const Offset in_force = current == nullptr ? kNoOffset : current->version;
-  // Two operators amending one version at once: the first in log order wins,
-  // the other reads back that its record is void and is told of a conflict.
+  // If two operators amend one version, the first in log order wins; the other
+  // reads back that its record is void and reports a conflict.
   const bool   checked = m_safeguards.Has(Safeguard::kAmendsVersion);
   if (checked && record.amends != in_force) return Effect::kVoid;
   if (!Validate(record.contract).empty()) return Effect::kVoid;
--- a/src/yuccawick/core/control.h
+++ b/src/yuccawick/core/control.h
@@ -1,9 +1,8 @@
-// State of the control stream: contracts, members, claims.
+// State of the control stream: contracts, members and claims.
 //
-// Every node folds the same records in the same order and so reaches the same
-// state. The version of the whole is the last offset folded in; a node only
-// ever moves to a higher one, which is why an accepted configuration never
-// reverts.
+// Every node applies the same records in the same order and reaches the same
+// state. The version of the state is the offset of the last record applied. It
+// only increases, so an accepted configuration never reverts.
 #pragma once
 
 #include <map>
@@ -17,28 +16,28 @@
 namespace yuccawick::core {
 
 enum class Effect : std::uint8_t {
-  kApplied,  // the state moved on
-  kVoid,     // read and passed over: its condition did not hold
-  kOld,      // at or below the version already held
+  kApplied,  // the state changed
+  kVoid,     // its precondition did not hold; ignored
+  kOld,      // at or below the current version; ignored
 };
 
 class Control {
  public:
   explicit Control(Safeguards safeguards) : m_safeguards(safeguards) {}
 
-  // Folds one record in. Old offsets change nothing, in any order.
+  // Applies one record. Records at or below the current version change nothing.
   Effect Apply(const LoggedRecord& logged);
-  // Takes a snapshot if it is newer than what is held.
+  // Replaces the state if the snapshot is newer.
   Effect Apply(const SnapshotRecord& snapshot);
 
   Offset         version() const { return m_version; }
   SnapshotRecord Snapshot() const;
-  // Offset of the newest snapshot seen on the stream; kNoOffset if none.
+  // Offset of the newest snapshot on the stream; kNoOffset if none.
   Offset         last_snapshot() const { return m_last_snapshot; }
 
   const ContractInForce* FindContract(const std::string& customer) const;
   const Member*          FindMember(const NodeRef& node) const;
-  // The incarnation that last joined on that VM, if any.
+  // The incarnation that last joined on the VM; null if none.
   const Member*          FindVm(const std::string& vm) const;
   const std::map<NodeRef, Member>& members() const { return m_members; }
   const std::map<std::string, ContractInForce>& contracts() const {
@@ -46,10 +45,10 @@
   }
 
   struct Coordinator {
-    NodeRef node;               // who owns the programs now
-    Offset  fence = kNoOffset;  // claim that made it so; kNoOffset: origin
+    NodeRef node;               // current owner of the programs
+    Offset  fence = kNoOffset;  // offset of its claim; kNoOffset: never claimed
   };
-  // Follows claims from a node to the present owner of its programs.
+  // Follows claims from `origin` to the current owner of its programs.
   Coordinator Resolve(const NodeRef& origin) const;
 
   // True if a claim by `adopter` would be valid now.
--- a/src/yuccawick/core/control_tail.cc
+++ b/src/yuccawick/core/control_tail.cc
@@ -54,8 +54,9 @@
 void ControlTail::OnReadFailed() {
   GetConfigChart().Fire(&m_phase, ConfigEvent::kReadFailed);
   if (HasState() || m_vms.empty()) return;
-  // Started in an outage: no member is known yet, but the platform's list names
-  // VMs whose nodes have been up for longer. One is asked at a time.
+  // The node started while the log is unavailable and knows no members. The
+  // platform's list names VMs whose nodes may have a state; one is asked at a
+  // time.
   const auto& vm = m_vms[m_next_vm++ % m_vms.size()].vm;
   if (vm != m_self.vm) RequestSnapshot(NodeRef{vm, 0});
 }
@@ -63,8 +64,8 @@
 void ControlTail::Fold(const ReadDone& done) {
   const bool gap = done.earliest > m_control.version() + 1;
   if (gap) {
-    // Records that we have not read are gone. Only a snapshot taken after them
-    // stands for them; folding on without one could bring back old contracts.
+    // Unread records have been dropped. Only a snapshot taken after them
+    // replaces them; continuing without one could restore old contracts.
     for (const auto& logged : done.records) {
       const auto* snapshot = std::get_if<SnapshotRecord>(&logged.record);
       if (snapshot != nullptr && snapshot->as_of >= done.earliest - 1)
@@ -91,7 +92,7 @@
 
 void ControlTail::MaybeSnapshot(Time now) {
   if (!m_settings.writes_snapshots || m_phase != ConfigPhase::kCurrent) return;
-  // Spread over as long again, so that usually one node writes it.
+  // Jitter of up to one interval, so that usually only one node writes it.
   const auto spread = static_cast<Duration>(
       PairHash("snapshot", ToString(m_self)) %
       static_cast<std::uint64_t>(m_settings.snapshot_interval));
--- a/src/yuccawick/core/control_tail.h
+++ b/src/yuccawick/core/control_tail.h
@@ -1,9 +1,9 @@
-// Follows the control stream: reads, gaps, snapshots, help from peers.
+// Keeps Control up to date by polling the control stream.
 //
-// Each node reads the stream every poll interval. While the log is down it
-// takes the highest state its peers have. Before retention drops what the state
-// was built from, some agent appends a snapshot; the first to do so resets the
-// others' timers.
+// While the log is unavailable, the node requests a snapshot from a peer with a
+// higher version. Agents append snapshots before log retention drops the
+// records that the state was built from; an append by one agent resets the
+// timers of the others.
 #pragma once
 
 #include <functional>
@@ -16,33 +16,33 @@
 
 struct ControlTailSettings {
   Duration poll_interval = 2000;         // ms between reads
-  Duration read_timeout = 3000;          // ms until a read is given up
-  Duration snapshot_interval = 3600000;  // ms between snapshots; below a third
-                                         // of the log's retention
-  bool     writes_snapshots = true;      // agents do, entries do not
+  Duration read_timeout = 3000;          // ms until a read fails
+  Duration snapshot_interval = 3600000;  // ms between snapshots; must be below
+                                         // a third of the log's retention
+  bool     writes_snapshots = true;      // true for agents, false for entries
 };
 
 class ControlTail {
  public:
-  // `on_change` runs after the state has moved on.
+  // `on_change` is called after the state has changed.
   ControlTail(NodeRef self, ControlTailSettings settings, Control& control,
               Outbox& outbox, std::function<void(Time)> on_change);
 
   void OnTick(Time now);
-  // False if the read is not one of this tail's.
+  // Returns false if the read was not issued by this object.
   bool OnRead(const ReadDone& done, Time now);
   void OnPull(const NodeRef& from);
   void OnPush(const ControlPush& push, Time now);
-  // Where to ask while no state is held and the log is down.
+  // VMs to request a snapshot from while no state is known and the log is
+  // unavailable.
   void OnVmList(const VmListRead& list) { m_vms = list.vms; }
-  // A peer is ahead of us while we cannot read.
+  // Requests a snapshot from a peer whose control version is higher.
   void RequestSnapshot(const NodeRef& peer);
 
-  // Reads at once; returns the read's number. A read under way is superseded.
+  // Starts a read and returns its number; supersedes a read in progress.
   std::uint64_t ReadNow(Time now);
   ConfigPhase   phase() const { return m_phase; }
   bool          HasState() const { return m_phase != ConfigPhase::kNone; }
-  // Number of the last read that ended well, and of the last that ended.
   bool IsLogUnavailable() const { return m_phase == ConfigPhase::kBehind; }
 
  private:
@@ -56,11 +56,11 @@
   Outbox&                   m_outbox;
   std::function<void(Time)> m_on_change;
   ConfigPhase               m_phase = ConfigPhase::kNone;
-  std::uint64_t             m_read = 0;  // under way; 0: none
+  std::uint64_t             m_read = 0;  // in progress; 0: none
   Time                      m_read_at = 0;
   Time                      m_next_read = 0;
   std::vector<VmEntry>      m_vms;
-  std::size_t m_next_vm = 0;  // index into m_vms of the next to ask
+  std::size_t m_next_vm = 0;  // index into m_vms of the next VM to ask
   Offset      m_seen_snapshot = kNoOffset;
   Time        m_snapshot_due = 0;
 };
--- a/src/yuccawick/core/coordinator.cc
+++ b/src/yuccawick/core/coordinator.cc
@@ -8,13 +8,8 @@
 
 namespace yuccawick::core {
 
-// Index
-//   Starting     programs and sub-agents
-//   PendingEnd       by the caller, by idleness
-//   Shared       helpers of all parts
-//
-// coordinator_calls.cc has the calls, coordinator_recovery.cc what follows a
-// claim.
+// Calls are in coordinator_calls.cc, recovery after a claim in
+// coordinator_recovery.cc.
 
 Coordinator::Coordinator(NodeRef self, std::string model,
                          CoordinatorSettings settings, Safeguards safeguards,
@@ -35,7 +30,7 @@
     return tl::make_unexpected(Refuse(Reason::kNoContract));
   if (FindClass(contract->contract, start.service_class) == nullptr)
     return tl::make_unexpected(Refuse(Reason::kUnknownClass));
-  // A sub-agent lives with its parent, whatever model it uses.
+  // A sub-agent is owned by its parent's coordinator, whatever its model.
   if (start.model != m_model && !start.parent.IsSet())
     return tl::make_unexpected(Refuse(Reason::kUnknownBackend));
   if (!m_deps.executor.IsJoined())
@@ -54,7 +49,7 @@
 void Coordinator::OnStart(const NodeRef& from, const StartProgram& start,
                           Time now) {
   const Caller caller{from, start.request};
-  // A start that comes again must not leave a second program behind.
+  // A repeated start must not create a second program.
   if (const auto existing = m_program_by_start.find(caller);
       existing != m_program_by_start.end())
     return RepeatStart(caller, existing->second);
@@ -74,8 +69,8 @@
 }
 
 void Coordinator::TryStart(const PendingStart& start, Time now) {
-  // Sub-agents share their parent's slot; a slot of their own could leave every
-  // parent waiting for a child that gets none.
+  // Sub-agents share their parent's slot. With slots of their own, all parents
+  // could wait for sub-agents that get none.
   if (start.start.parent.IsSet()) return CreateProgram(start, false, now);
   const Funding funding =
       m_deps.budget.Reserve(start.start.customer, Resource::kPrograms, 1, now);
@@ -129,7 +124,7 @@
   }
 }
 
-// ---- PendingEnd
+// ---- Ending
 
 void Coordinator::OnQuery(const NodeRef& from, const ProgramQuery& query,
                           Time now) {
@@ -148,7 +143,7 @@
   m_ending[ticket] = {caller, query.program};
 }
 
-// Ends the program and its sub-agents. None has a call under way.
+// Ends the program and its sub-agents. None has a call in progress.
 void Coordinator::Finish(Program* program, Time now) {
   if (program->state.meta.ended) return;
   const ProgramId id = program->state.meta.id;
@@ -193,8 +188,7 @@
     if (contract == nullptr || program.phase != ProgramPhase::kIdle) continue;
     if (!program.waiting.empty() || idle <= contract->contract.idle_timeout)
       continue;
-    // The caller has vanished, or its tool hangs: engine memory and slot must
-    // not stay held for it.
+    // The caller is gone, or its tool hangs: release engine memory and slot.
     m_deps.outbox.Push(Count{Counter::kPrograms, "expired", 1});
     Finish(&program, now);
     MakeMetaDurable(&program, now);
@@ -260,8 +254,8 @@
     candidate.is_coordinator = node == m_self;
     const auto& peers = m_deps.membership.peers();
     const bool has_load_data = candidate.is_coordinator || peers.contains(node);
-    // An engine whose load is not known would look idle: leave it out, unless
-    // this home came to the program from another model and knows none of its.
+    // An engine of unknown load would look idle, so it is skipped, unless this
+    // coordinator serves another model and knows the load of none.
     const bool own_model =
         call.kind == BackendKind::kModel && call.target == m_model;
     if (!has_load_data && own_model) continue;
@@ -278,9 +272,9 @@
     candidates.push_back(candidate);
   }
   if (nodes.empty()) return {};
-  // Equal candidates are taken in an order of each program's own, or every home
-  // would choose the same server; but the home's own engine goes first, since
-  // the program's later calls will find their prefix there.
+  // Equal candidates are ordered differently for each program, or all
+  // coordinators would choose the same server. The coordinator's own engine
+  // comes first, since later calls will find their prefix there.
   const auto shift = static_cast<std::ptrdiff_t>(
       PairHash("route", ToString(program.state.meta.id)) % nodes.size());
   std::rotate(nodes.begin(), nodes.begin() + shift, nodes.end());
--- a/src/yuccawick/core/coordinator.h
+++ b/src/yuccawick/core/coordinator.h
@@ -1,18 +1,16 @@
-// The agent's half that owns programs.
+// Owns programs and runs their calls, as one part of the agent.
 //
-// A program's calls run one after another in the order of their sequence
+// The calls of a program run one after another in the order of their sequence
 // numbers, through the phases of charts/program.chart:
 //
-//   funding     its worst case is reserved from the program's and the
-//               customer's budget
-//   recording   the reservation, and where an unrepeatable call is about to be
-//               sent, are held safely
-//   running     one executor incarnation has the order
-//   settling    the answer is being held safely; only then is it given out
-//
-// After a claim, programs pass through `recovering`: an unrepeatable call that
-// may have run is looked up at the executor, which is fenced first (compare the
-// recovery of open ledgers in BookKeeper: fence, then read).
+// funding     reserves the worst-case cost from the budgets of the program
+//             and the customer
+// recording   makes the reservation durable and, for an unrepeatable call,
+//             the executor that it will be sent to
+// running     waits for the executor's answer
+// settling    makes the answer durable before callers receive it
+// recovering  after a claim: an unrepeatable call that may have run is looked
+//             up at its executor, which is fenced first
 #pragma once
 
 #include <map>
@@ -31,20 +29,18 @@
 namespace yuccawick::core {
 
 struct CoordinatorSettings {
-  Sequence window = 16;              // calls that may arrive ahead of order
-  Duration durable_timeout = 3000;   // ms until an answer is refused as not
-                                     // durable
-  Duration funding_timeout = 3000;   // ms a call waits for a slice
-  Duration reply_margin = 2000;      // ms past the deadline for a late reply
-  Duration unknown_timeout = 10000;  // ms of an executor's silence until an
-                                     // unrepeatable call counts as unknown
-  Duration fence_resend = 300;       // ms between questions to it
-  Duration ended_retention = 60000;  // ms an ended program is still known
+  Sequence window = 16;             // calls that may arrive ahead of their turn
+  Duration durable_timeout = 3000;  // ms until kNotDurable is returned
+  Duration funding_timeout = 3000;  // ms that a call waits for a budget slice
+  Duration reply_margin = 2000;     // ms past the deadline for a late reply
+  Duration unknown_timeout = 10000;  // ms of no contact until kOutcomeUnknown
+  Duration fence_resend = 300;       // ms between fence requests
+  Duration ended_retention = 60000;  // ms that an ended program is kept
 };
 
 class Coordinator {
  public:
-  // What a home needs of its agent. All outlive the home.
+  // Other parts of the agent; all outlive the coordinator.
   struct Dependencies {
     const Control&     control;
     Membership&        membership;
@@ -57,36 +53,36 @@
   Coordinator(NodeRef self, std::string model, CoordinatorSettings settings,
               Safeguards safeguards, Dependencies parts);
 
-  // Callers, by way of an entry.
+  // Requests of callers, forwarded by an entry.
   void OnStart(const NodeRef& from, const StartProgram& start, Time now);
   void OnCall(const NodeRef& from, const CallRequest& request, Time now);
   void OnQuery(const NodeRef& from, const ProgramQuery& query, Time now);
   void OnCancel(const NodeRef& from, const CancelRequest& cancel, Time now);
 
-  // Executors.
+  // Messages of executors.
   void OnDispatchChunk(const NodeRef& from, const DispatchChunk& chunk);
   void OnDispatchReply(const NodeRef& from, const DispatchReply& reply,
                        Time now);
   void OnFenceReply(const NodeRef& from, const FenceReply& reply, Time now);
-  // An order that has certainly not left this node.
+  // The dispatch certainly did not leave this node.
   void OnUnsent(const Dispatch& dispatch, Time now);
-  // The node no longer answers; what it was given may have run.
+  // The node is unreachable; calls dispatched to it may have run.
   void OnPeerUnreachable(const NodeRef& node, Time now);
 
-  // The agent's other parts.
+  // Notifications of the agent's other parts.
   void OnDurable(Ticket ticket, Time now);
   void OnFunding(const std::string& customer, Time now);
   void OnTick(Time now);
 
-  // Taking over `target` under the claim at `fence`: first the replica's copy,
-  // then what the log holds, then recovery.
+  // Takes over the programs of `target` under the claim at offset `fence`:
+  // first the replica's copies, then the history in the log, then recovery.
   void Adopt(const NodeRef& target, Offset fence,
              const std::vector<ProgramDelta>& deltas, Time now);
   void OnHistory(const NodeRef& target, const HistoryRecord& record, Time now);
   void OnHistoryComplete(const NodeRef& target, Time now);
 
   void                        StartDraining() { m_draining = true; }
-  // Calls and starts not yet answered.
+  // Number of calls, starts and ends not yet answered.
   std::size_t                 InFlight() const;
   std::size_t                 ProgramCount() const { return m_programs.size(); }
   // State of every program, for a new replica.
@@ -110,8 +106,8 @@
     Tokens              reserved = 0;
     NodeRef             executor;
     std::uint64_t       dispatch = 0;  // 0: not sent
-    std::set<Ticket>    tickets;       // must be held before going on
-    Time                since = 0;     // of the present phase
+    std::set<Ticket>    tickets;       // must be durable before the next phase
+    Time                since = 0;     // start of the current phase
     Time                fence_sent = 0;
   };
   struct Program {
@@ -120,10 +116,10 @@
     std::map<Sequence, WaitingCall> waiting;
     std::optional<ActiveCall>       active;
     Offset                          fence = kNoOffset;
-    NodeRef                         adopted_from;  // while history is read
-    std::map<NodeRef, Tokens>       prefixes;      // engines that hold some
-    bool                            owns_slot = false;  // of max_programs
-    Tokens                          attained = 0;
+    NodeRef adopted_from;                // set until the history has been read
+    std::map<NodeRef, Tokens> prefixes;  // prefix size by engine
+    bool                      owns_slot = false;  // counts against max_programs
+    Tokens                    attained = 0;
   };
   struct PendingStart {
     Caller       caller;
@@ -135,7 +131,6 @@
     ProgramId program;
   };
 
-  // Starting and ending.
   tl::expected<void, Failure> CheckStart(const StartProgram& start) const;
   void                        TryStart(const PendingStart& start, Time now);
   void RepeatStart(const Caller& caller, const ProgramId& id);
@@ -144,7 +139,6 @@
   void ReleasePrefixes(Program* program);
   void RetryStarts(const std::string& customer, Time now);
 
-  // One call.
   tl::expected<Program*, Failure> FindFor(const ProgramId&   id,
                                           const std::string& customer,
                                           const std::string& workspace);
@@ -159,17 +153,15 @@
   void FinishFailed(Program* program, Failure failure, Time now);
   void Settle(Program* program, const Answer& answer, const Failure* failure,
               Time now);
-  bool HasLostExecutor(const NodeRef& node, Time now) const;
+  bool IsExecutorGone(const NodeRef& node, Time now) const;
   void FinishAnswered(Program* program, Time now);
   void OnTimeouts(Program* program, Time now);
   void DropLateWaiting(Program* program, Time now);
   void ExpireIdle(Time now);
 
-  // Recovery.
   void ResolveIntent(Program* program, Time now);
   void FinishRecovery(Program* program, Time now);
 
-  // Shared.
   void     Fire(Program* program, ProgramEvent event);
   Ticket   MakeMetaDurable(Program* program, Time now);
   Ticket   MakeTurnDurable(Program* program, const Turn& turn, Time now);
@@ -198,11 +190,11 @@
 
   std::uint64_t                  m_last_number = 0;
   std::map<ProgramId, Program>   m_programs;
-  std::vector<PendingStart>      m_starts;   // wait for a slot
-  std::map<Ticket, PendingStart> m_started;  // wait to be held
+  std::vector<PendingStart>      m_starts;   // waiting for a slot
+  std::map<Ticket, PendingStart> m_started;  // waiting for durability
   std::map<Ticket, ProgramId>    m_started_as;
-  std::map<Caller, ProgramId>    m_program_by_start;  // of programs still kept
-  std::map<Ticket, PendingEnd>   m_ending;            // wait to be held
+  std::map<Caller, ProgramId>    m_program_by_start;  // answers repeated starts
+  std::map<Ticket, PendingEnd>   m_ending;            // waiting for durability
   std::map<Ticket, ProgramId>    m_tickets;           // of active calls
   std::map<std::uint64_t, ProgramId> m_dispatches;
 };
--- a/src/yuccawick/core/coordinator_calls.cc
+++ b/src/yuccawick/core/coordinator_calls.cc
@@ -6,10 +6,6 @@
 
 namespace yuccawick::core {
 
-// Index
-//   Calls        checks, order, funding, recording, sending
-//   Outcomes     answers, refusals, timeouts
-
 // ---- Calls
 
 tl::expected<Coordinator::Program*, Failure> Coordinator::FindFor(
@@ -101,8 +97,8 @@
   if (program->phase != ProgramPhase::kIdle || program->waiting.empty()) return;
   auto       next = program->waiting.begin();
   const bool in_order = next->first == program->state.NextSequence();
-  // Running a later call first would act on a state its program has not reached
-  // yet, e.g. publish a notice before its draft is approved.
+  // Running a later call first would act on a state that its program has not
+  // reached yet.
   if (!in_order && m_safeguards.Has(Safeguard::kCallOrder)) return;
   ActiveCall active;
   active.call = next->second.call;
@@ -147,8 +143,8 @@
   active.executor = Route(*program, active.call);
   if (active.executor.vm.empty())
     return FinishRefused(program, Refuse(Reason::kBackendUnreachable), now);
-  // Where the call is about to be sent is held before it is sent. Otherwise a
-  // new owner would not know that it may have run, and would run it again.
+  // The executor is recorded durably before the call is sent. Otherwise a new
+  // owner would not know that the call may have run and would run it again.
   if (active.call.unrepeatable)
     program->state.meta.intent = {active.call, active.executor};
   Program* root = RootOf(program);
@@ -217,8 +213,8 @@
   const auto found =
       it == m_dispatches.end() ? m_programs.end() : m_programs.find(it->second);
   Program*   program = found == m_programs.end() ? nullptr : &found->second;
-  // Answers may be late, repeated or crossed: only the one to the dispatch now
-  // running, from the node it went to, is this call's answer.
+  // Replies may be late, duplicated or reordered: accept only the reply to the
+  // current dispatch from the node that it was sent to.
   const bool matches = program != nullptr && program->active &&
                        program->phase == ProgramPhase::kRunning &&
                        program->active->dispatch == reply.dispatch &&
@@ -234,7 +230,7 @@
   FinishFailed(program, reply.failure, now);
 }
 
-// The call did not run: everything reserved comes back.
+// The call did not run: its reservation is released.
 void Coordinator::FinishRefused(Program* program, Failure failure, Time now) {
   ActiveCall active = std::move(*program->active);
   program->active.reset();
@@ -258,21 +254,21 @@
   if (unrepeatable && m_safeguards.Has(Safeguard::kUnknownIsFinal)) {
     if (failure.ran == Ran::kUnknown)
       failure = {Reason::kOutcomeUnknown, Ran::kUnknown, 0};
-    // Becomes a turn like any other: the same sequence is answered with it for
-    // ever, and never runs again.
+    // Stored as a turn, so that the same sequence always gets this outcome and
+    // never runs again.
     return Settle(program, {}, &failure, now);
   }
   if (failure.reason == Reason::kCancelled) {
-    // Somebody has asked again while the call was being cancelled for a caller
-    // that went away: for them it starts over.
+    // A caller repeated the request while it was being cancelled for another
+    // one: the call starts over.
     ActiveCall& active = *program->active;
     if (!active.callers.empty()) {
       program->waiting[active.call.sequence] = {
           active.call, std::exchange(active.callers, {})};
     }
   }
-  // May be repeated: the caller issues the same sequence again. What it may
-  // have cost stays spent.
+  // The caller may issue the same sequence again. The possible cost stays
+  // charged.
   program->active->reserved = 0;
   FinishRefused(program, failure, now);
 }
@@ -380,10 +376,9 @@
     const bool waits = program.phase == ProgramPhase::kRunning &&
                        program.active->executor == node;
     if (!waits) continue;
-    // A call that may be repeated is given back at once. One that may not is
-    // worth waiting for: its answer may still come, and a person would have to
-    // look into an unknown outcome.
-    if (program.active->call.unrepeatable && !HasLostExecutor(node, now))
+    // A repeatable call fails at once. For an unrepeatable one the answer may
+    // still arrive, while an unknown outcome would need manual inspection.
+    if (program.active->call.unrepeatable && !IsExecutorGone(node, now))
       continue;
     m_dispatches.erase(program.active->dispatch);
     FinishFailed(&program,
@@ -393,9 +388,10 @@
   }
 }
 
-bool Coordinator::HasLostExecutor(const NodeRef& node, Time now) const {
+bool Coordinator::IsExecutorGone(const NodeRef& node, Time now) const {
   return m_deps.membership.IsReplaced(node) ||
-         m_deps.membership.SilentFor(node, now) > m_settings.unknown_timeout;
+         m_deps.membership.UnreachableFor(node, now) >
+             m_settings.unknown_timeout;
 }
 
 void Coordinator::OnTimeouts(Program* program, Time now) {
@@ -421,8 +417,8 @@
                           now);
     case ProgramPhase::kSettling: {
       if (waited <= m_settings.durable_timeout) return;
-      // The answer exists but could still be lost: the callers are told so at
-      // once and get it when they ask again.
+      // The answer exists but could still be lost: callers get a failure now
+      // and the answer when they retry.
       const Failure failure{Reason::kNotDurable, Ran::kYes,
                             Info(Reason::kNotDurable).retry_after};
       ReplyAll(std::exchange(active.callers, {}), tl::make_unexpected(failure));
--- a/src/yuccawick/core/coordinator_recovery.cc
+++ b/src/yuccawick/core/coordinator_recovery.cc
@@ -4,8 +4,6 @@
 
 namespace yuccawick::core {
 
-// Programs taken over from another home.
-
 void Coordinator::Adopt(const NodeRef& target, Offset fence,
                         const std::vector<ProgramDelta>& deltas, Time now) {
   for (const auto& delta : deltas) {
@@ -19,7 +17,8 @@
       Fire(&program, ProgramEvent::kEnd);
       continue;
     }
-    // Others may have waited for the caller's next call; it starts afresh.
+    // The idle timeout starts again, since requests may have been delayed by
+    // the takeover.
     program.state.meta.last_active = now;
     Fire(&program, ProgramEvent::kAdopted);
     m_deps.outbox.Push(Count{Counter::kPrograms, "adopted", 1});
@@ -33,8 +32,8 @@
   for (const auto& delta : record.deltas) {
     const auto found = m_programs.find(delta.meta.id);
     if (found == m_programs.end()) {
-      // Of an earlier incarnation on that VM, perhaps; its recovery goes on
-      // when this read is complete, like the others'.
+      // The program may belong to an earlier incarnation on that VM; it is
+      // recovered with the others when this read is complete.
       Adopt(target, owner.fence, {delta}, now);
       continue;
     }
@@ -78,9 +77,10 @@
   }
   ActiveCall& active = *program->active;
   m_deps.membership.ProbeTemporarily(active.executor, now);
-  const bool silent = now - active.since > m_settings.unknown_timeout;
-  if (silent || m_deps.membership.IsReplaced(active.executor)) {
-    // No answer from the one place where it may have run: nobody can know.
+  const bool timed_out = now - active.since > m_settings.unknown_timeout;
+  if (timed_out || m_deps.membership.IsReplaced(active.executor)) {
+    // No reply from the only node where it may have run: the outcome is
+    // unknown.
     const Failure unknown{Reason::kOutcomeUnknown, Ran::kUnknown, 0};
     return Settle(program, {}, &unknown, now);
   }
@@ -105,7 +105,7 @@
   if (!matches) return;
   switch (reply.state) {
     case FencedState::kNeverSeen:
-      // Fenced, so that it never will run there: free to run it afresh.
+      // Fenced there, so that it is safe to run it again.
       if (!program->active->callers.empty()) {
         program->waiting[reply.sequence] = {
             program->active->call, std::move(program->active->callers)};
--- a/src/yuccawick/core/durability.cc
+++ b/src/yuccawick/core/durability.cc
@@ -6,10 +6,12 @@
 namespace yuccawick::core {
 namespace {
 
-constexpr std::size_t kMetaBytes = 200;          // of a delta without its turns
-constexpr std::size_t kTurnBytes = 100;          // of a turn without its texts
-constexpr Duration    kEndedRetention = 60'000;  // well past the next flush
-constexpr Duration kUnassignedRetention = 600'000;  // a candidate copies sooner
+constexpr std::size_t kMetaBytes = 200;  // metadata of a delta
+constexpr std::size_t kTurnBytes = 100;  // turn without its texts
+constexpr Duration    kEndedRetention =
+    60'000;  // ms; longer than a flush interval
+constexpr Duration kUnassignedRetention =
+    600'000;  // ms; longer than a full copy takes
 constexpr std::size_t kMaxDeltasPerAppend = 512;
 constexpr std::size_t kMaxBytesPerAppend = 1 << 20;
 
@@ -99,7 +101,7 @@
   }
   m_replicas = std::move(assigned);
   DropCandidates();
-  // What the new set has acknowledged while it was a candidate counts now.
+  // Acknowledgements received from candidates count now.
   for (const Ticket ticket : std::set<Ticket>(m_waiting))
     MarkIfReplicated(ticket);
   return true;
@@ -184,13 +186,12 @@
       if (m_waiting.contains(item.ticket)) m_unconfirmed.insert(item.ticket);
     }
     m_appending.clear();
-    // A backlog, as after an outage, is not left to the next interval: it would
-    // grow faster than it is written.
+    // Continue with a backlog at once. Waiting for the next interval could let
+    // it grow faster than it is written.
     if (m_batch_was_full) FlushNow(now);
     return;
   }
-  // Refused, or nobody knows: appended again, since reading a delta twice
-  // changes nothing.
+  // Refused or unknown: append again. Reading a delta twice has no effect.
   for (auto it = m_appending.rbegin(); it != m_appending.rend(); ++it)
     m_unlogged.push_front(std::move(*it));
   m_appending.clear();
@@ -217,7 +218,7 @@
     m_confirming.clear();
     return;
   }
-  // Claimed: the adopter may have read the history before the append landed.
+  // Claimed: the adopter may have read the history before the append.
   if (!owner) return;
   for (const Ticket ticket : std::exchange(m_confirming, {}))
     MarkDurable(ticket);
--- a/src/yuccawick/core/durability.h
+++ b/src/yuccawick/core/durability.h
@@ -1,18 +1,17 @@
-// Holding what a home has done safely before it says so.
+// Makes program deltas durable before their results are acknowledged.
 //
-// A delta is held once either
-//   - every assigned replica, each in another availability zone, has
-//     acknowledged it, or
-//   - the log has taken it and a read of the control stream begun afterwards
-//     shows no claim of this home.
-// The first costs one exchange between zones and no append; the log is written
-// lazily, many deltas an append. Two replicas outlive any two failures at once.
-// The second is the way while replicas are missing or late. The read after the
-// append is needed because the adopter claims first and reads the history then:
-// whatever it cannot see must not have been acknowledged.
+// A delta is durable once either
+//  - every assigned replica, each in another availability zone, has
+//    acknowledged it, or
+//  - the log has accepted it and a read of the control stream that began
+//    afterwards shows no claim of this coordinator.
+// The first way costs one round trip between zones; deltas are still appended
+// to the log, in batches. The second is used while replicas are missing or
+// slow. Its read is required because an adopter claims first and then reads the
+// history: it would miss a delta that was appended later.
 //
-// Durability   the home's side
-// BackupStore  the replica's side
+// Durability    the coordinator's side
+// BackupStore   the replica's side
 #pragma once
 
 #include <deque>
@@ -27,35 +26,35 @@
 namespace yuccawick::core {
 
 struct DurabilitySettings {
-  Duration flush_interval = 4000;  // ms between appends while a replica holds
-  Duration flush_linger = 30;      // ms to gather a batch without a replica
-  Duration resend_after = 400;     // ms without an acknowledgement
-  Duration late_after = 200;       // ms until a replica counts as late
-  std::size_t max_unlogged = 16 << 20;  // bytes kept while the log is down
+  Duration    flush_interval = 4000;  // ms between appends with replicas
+  Duration    flush_linger = 30;      // ms to collect a batch without replicas
+  Duration    resend_after = 400;  // ms until an unacknowledged delta is resent
+  Duration    late_after = 200;    // ms until a replica counts as late
+  std::size_t max_unlogged = 16 << 20;  // bytes waiting for the log
 };
 
-using Ticket = std::uint64_t;  // names one held delta
+using Ticket = std::uint64_t;  // identifies one delta
 
 class Durability {
  public:
-  // `on_durable` is told each ticket once, when its delta is safe.
+  // `on_durable` is called once for each ticket when its delta is durable.
   Durability(NodeRef self, DurabilitySettings settings, const Control& control,
              Outbox& outbox, std::function<void(Ticket)> on_durable);
 
-  // Sets about holding a delta. Call order is kept towards the replica.
+  // Starts to make a delta durable. Replicas receive deltas in call order.
   Ticket MakeDurable(const ProgramDelta& delta, Time now);
 
-  // Begins to copy to nodes that are to become the replicas: `everything`
-  // first, each later delta after it. Those that are replicas already have it.
-  // The replicas so far stay in use until the control stream names the new set.
+  // Starts to copy to future replicas: first `everything`, then each later
+  // delta. Nodes that are replicas already need no copy. The current replicas
+  // stay in use until the control stream assigns the new set.
   void                        StartCandidates(const std::vector<NodeRef>&      nodes,
                                               const std::vector<ProgramDelta>& everything, Time now);
-  // True once every candidate has everything and the set may be assigned.
+  // True once every candidate is up to date and the set may be assigned.
   bool                        AreCandidatesReady() const;
   const std::vector<NodeRef>& Candidates() const { return m_candidate_nodes; }
   void                        DropCandidates();
-  // The control stream names this node's replicas (empty: none). Returns true
-  // if that changes them.
+  // Applies the replica set of the control stream (empty: none). Returns true
+  // if the set changed.
   bool                        OnAssigned(const std::vector<NodeRef>& replicas);
   std::vector<NodeRef>        Replicas() const;
 
@@ -65,17 +64,17 @@
   // A read of the control stream has ended; `read` is its number.
   void OnControlRead(std::uint64_t read, bool ok);
   void OnTick(Time now);
-  // Appends what is not yet logged without waiting for the interval.
+  // Appends unlogged deltas without waiting for the interval.
   void FlushNow(Time now);
 
-  // Set while a control read is needed; the caller starts one and tells its
-  // number.
+  // True while a read of the control stream is needed. The caller starts one
+  // and passes its number to OnControlReadStarted().
   bool WantsControlRead() const;
   void OnControlReadStarted(std::uint64_t read);
 
   bool        IsQuiet() const { return m_waiting.empty() && IsLogged(); }
   bool        IsLogged() const { return m_unlogged.empty() && m_append == 0; }
-  // Too much is waiting for the log: refuse new work.
+  // True while too much data waits for the log; new work is refused.
   bool        IsFull() const { return m_bytes > m_settings.max_unlogged; }
   std::size_t UnloggedBytes() const { return m_bytes; }
 
@@ -85,12 +84,12 @@
     ProgramDelta delta;
     std::size_t  bytes = 0;
   };
-  // Copying to one node.
+  // The copy stream to one node.
   struct ReplicaLink {
     NodeRef                        node;
     std::map<Ticket, ProgramDelta> unacked;
     Time                           last_sent = 0;
-    Time                           oldest_sent = 0;  // for the oldest of these
+    Time oldest_sent = 0;  // of the oldest unacknowledged delta
   };
 
   void SendBatch(ReplicaLink* link, Ticket ticket, const ProgramDelta& delta,
@@ -107,35 +106,35 @@
   Outbox&                     m_outbox;
   std::function<void(Ticket)> m_on_durable;
 
-  std::set<Ticket>         m_waiting;          // not yet told to be held
-  std::vector<ReplicaLink> m_replicas;         // assigned in the control stream
-  std::vector<ReplicaLink> m_candidates;       // being brought up to date
-  std::vector<NodeRef>     m_candidate_nodes;  // the whole set to be assigned
-  std::deque<Item>         m_unlogged;
-  std::size_t              m_bytes = 0;    // of m_unlogged and m_appending
-  std::vector<Item>        m_appending;    // under way to the log
-  std::uint64_t            m_append = 0;   // its number; 0: none
-  std::set<Ticket>         m_unconfirmed;  // logged, control not read since
-  std::set<Ticket>         m_confirming;   // covered by m_control_read
-  std::uint64_t            m_control_read = 0;
+  std::set<Ticket>         m_waiting;      // not durable yet
+  std::vector<ReplicaLink> m_replicas;     // assigned in the control stream
+  std::vector<ReplicaLink> m_candidates;   // receiving a full copy
+  std::vector<NodeRef> m_candidate_nodes;  // the complete set to be assigned
+  std::deque<Item>     m_unlogged;
+  std::size_t          m_bytes = 0;    // of m_unlogged and m_appending
+  std::vector<Item>    m_appending;    // being appended
+  std::uint64_t        m_append = 0;   // number of that append; 0: none
+  std::set<Ticket>     m_unconfirmed;  // logged; control stream not read since
+  std::set<Ticket>     m_confirming;   // covered by the read m_control_read
+  std::uint64_t        m_control_read = 0;
   bool m_batch_was_full = false;  // more was waiting than one append takes
   Time m_last_flush = 0;
   Time m_retry_at = 0;
 };
 
-// Copies of other homes' programs, by home. Answers truthfully whether a delta
-// is held: not once the home has been claimed, since its programs are then
-// served elsewhere.
+// Copies of the programs of other coordinators. Stops acknowledging deltas of a
+// coordinator once it has been claimed, since its programs are then served
+// elsewhere.
 class BackupStore {
  public:
   BackupStore(const Control& control, Outbox& outbox)
       : m_control(control), m_outbox(outbox) {}
 
   void OnReplicate(const NodeRef& from, const Replicate& replicate, Time now);
-  // Hands over everything held of `home` and forgets it.
+  // Removes and returns all programs of `coordinator`.
   std::vector<ProgramDelta> Take(const NodeRef& coordinator);
-  // Forgets ended programs after a while, and homes that have been claimed by
-  // others or have had another replica for a while.
+  // Drops programs some time after they ended, coordinators claimed by other
+  // nodes, and coordinators that have had other replicas for some time.
   void                      Forget(const NodeRef& self, Time now);
   std::size_t               ProgramCount() const;
 
--- a/src/yuccawick/core/entry.cc
+++ b/src/yuccawick/core/entry.cc
@@ -10,16 +10,12 @@
 namespace yuccawick::core {
 namespace {
 
-// Engines whose leased prefixes differ by less, tokens, count as equal.
+// Engines whose leased prefixes differ by less than this, tokens, count as
+// equal.
 constexpr Tokens kResidentStep = 4096;
 
 }  // namespace
 
-// Index
-//   Events     what the daemon tells
-//   Sending    finding the home, parking, giving up
-//   Replies    matching, retrying, streaming
-
 Entry::Entry(EntrySettings settings, Safeguards safeguards)
     : m_settings(std::move(settings)),
       m_safeguards(safeguards),
@@ -39,7 +35,7 @@
       m_retries(m_settings.retry, m_settings.seed) {}
 
 std::vector<Command> Entry::Handle(Time now, const Event& event) {
-  // A caller may reach a daemon that has just stopped; it is told so at once.
+  // A request that arrives after the stop is refused at once.
   const bool caller = std::holds_alternative<CallerMessage>(event);
   if (m_stopped && !caller) return {};
   std::visit([&](const auto& e) { On(e, now); }, event);
@@ -62,7 +58,7 @@
   }
   std::vector<std::uint64_t> due;
   std::vector<std::uint64_t> late;
-  std::vector<std::uint64_t> silent;
+  std::vector<std::uint64_t> unanswered;
   for (auto& [request, pending] : m_pending) {
     if (now > pending.deadline + m_settings.reply_margin) {
       late.push_back(request);
@@ -70,18 +66,19 @@
       due.push_back(request);
     } else if (pending.retry_at == 0 &&
                now - pending.sent_at > m_settings.resend_after) {
-      silent.push_back(request);
+      unanswered.push_back(request);
     }
   }
   for (const auto request : late) GiveUp(request, Refuse(Reason::kDeadline));
   for (const auto request : due) TrySend(request, now);
-  // Homes know a request again by its entry and number, and answer it once.
-  for (const auto request : silent) Transmit(request, now);
-  std::vector<NodeRef> lost;
+  // Coordinators recognize a repeated request by entry and number, and answer
+  // it once.
+  for (const auto request : unanswered) Transmit(request, now);
+  std::vector<NodeRef> unreachable;
   for (const auto& [node, peer] : m_membership.peers()) {
-    if (m_membership.IsSuspect(node)) lost.push_back(node);
+    if (m_membership.IsSuspect(node)) unreachable.push_back(node);
   }
-  for (const auto& node : lost) OnCoordinatorLost(node, now);
+  for (const auto& node : unreachable) OnCoordinatorUnreachable(node, now);
 }
 
 void Entry::On(const CallerMessage& event, Time now) {
@@ -120,10 +117,10 @@
 }
 
 void Entry::On(const MessageReceived& event, Time now) {
-  const bool ours = IsMeant(event.to, m_settings.self);
-  // A reply to an earlier incarnation carries a number that here belongs to
-  // some other caller: that caller would be given a stranger's answer.
-  if (!ours && m_safeguards.Has(Safeguard::kReplyMatch)) {
+  const bool addressed_here = IsMeant(event.to, m_settings.self);
+  // A reply to an earlier incarnation carries a number that here may belong to
+  // another caller, who would receive the wrong answer.
+  if (!addressed_here && m_safeguards.Has(Safeguard::kReplyMatch)) {
     m_outbox.Push(Count{Counter::kStaleMessages, "other_incarnation", 1});
     return;
   }
@@ -153,7 +150,7 @@
 
 void Entry::On(const SendFailed& event, Time now) {
   m_membership.OnSendFailed(event.to, now);
-  OnCoordinatorLost(event.to, now);
+  OnCoordinatorUnreachable(event.to, now);
 }
 
 void Entry::On(const ReadDone& event, Time now) { m_tail.OnRead(event, now); }
@@ -177,7 +174,7 @@
   const Member* best = nullptr;
   bool          known = false;
   const auto    cost = [&](const Member& m) {
-    // Among equally loaded ones, each request has an order of its own.
+    // Equally loaded nodes are ordered differently for each request.
     return std::tuple(m_membership.LoadOf(m.join.node),
                          m_membership.ResidentOf(m.join.node) / kResidentStep,
                          PairHash(std::to_string(request), m.join.node.vm));
@@ -252,8 +249,8 @@
   pending.retry_at = now + m_settings.retry.initial_wait;
 }
 
-// The final answer, at once. Whether it ran is known only if it was never sent
-// or the last home to have it said so.
+// Replies with a failure. Ran::kNo is kept only if the request was never sent,
+// or the last coordinator that received it reported so.
 void Entry::GiveUp(std::uint64_t request, Failure failure) {
   const auto it = m_pending.find(request);
   if (it == m_pending.end()) return;
@@ -292,7 +289,7 @@
 void Entry::OnChunk(const NodeRef& from, const CallChunk& chunk, Time now) {
   Pending* pending = FindFrom(from, chunk.request);
   if (pending == nullptr) return;
-  // A lost or crossed chunk ends streaming; the reply brings the rest.
+  // A lost or reordered chunk ends streaming; the reply contains the rest.
   if (chunk.position != pending->streamed.size()) return;
   pending->sent_at = now;
   pending->streamed += chunk.text;
@@ -304,7 +301,7 @@
   Pending* pending = FindFrom(from, request);
   if (pending == nullptr) return;
   if (!ok) {
-    // This home has answered: what was sent to it did not run after all.
+    // The only coordinator that received it reports that it did not run.
     if (failure.ran == Ran::kNo && pending->attempts == 1)
       pending->may_have_run = false;
     return OnFailure(request, failure, now);
@@ -313,8 +310,8 @@
   const bool  other_text =
       answer != nullptr && !answer->answer.text.starts_with(pending->streamed);
   if (other_text) {
-    // The call ran again after a failure and gave another text than the part
-    // the caller already has. Asked again, the home gives the whole of it.
+    // The call ran again after a failure with a text that differs from what the
+    // caller has received. A retry returns the complete text.
     const Failure restart{Reason::kHomeUnreachable, Ran::kYes, 1};
     return GiveUp(request, restart);
   }
@@ -334,11 +331,11 @@
       now + m_retries.Wait(pending.attempts - 1, failure.retry_after);
 }
 
-void Entry::OnCoordinatorLost(const NodeRef& node, Time now) {
+void Entry::OnCoordinatorUnreachable(const NodeRef& node, Time now) {
   for (auto& [request, pending] : m_pending) {
     if (pending.sent_to != node || pending.retry_at != 0) continue;
-    // Sent again once there is a new home: homes tell a repeated sequence by
-    // their record of it, and an unrepeatable call by its intent.
+    // Sent again to the new coordinator, which recognizes a repeated sequence
+    // by its record of it and an unrepeatable call by its intent.
     pending.retry_at = now;
     pending.waiting_since = now;
     m_outbox.CountRetry(Reason::kHomeUnreachable);
--- a/src/yuccawick/core/entry.h
+++ b/src/yuccawick/core/entry.h
@@ -1,10 +1,10 @@
-// The entry's decisions: any caller's request, to the home of its program.
+// Decision logic of an entry: forwards callers' requests to coordinators.
 //
-// An entry keeps nothing that matters. It finds the home by the program's id
-// and the claims, sends the request there, and is the only node that retries:
-// what certainly did not run, and what a home recognizes by its sequence number
-// when it comes again. A home that is lost is waited for until its programs
-// have a new one, no longer than `max_coordinator_wait`.
+// An entry holds no durable state. It finds the coordinator by the program id
+// and the claims on the control stream and forwards the request. It is the only
+// node that retries: requests that certainly did not run, and requests that the
+// coordinator recognizes by their sequence number. Requests for an unreachable
+// coordinator wait up to `max_coordinator_wait` for its successor.
 #pragma once
 
 #include <map>
@@ -23,12 +23,10 @@
   MembershipSettings  membership;
   RetrySettings       retry;
   std::uint64_t       seed = 1;
-  Duration            max_coordinator_wait =
-      8000;                           // ms to wait for a lost home's successor
-  Duration reply_margin = 6000;       // ms past the deadline for the reply
-  Duration default_deadline = 60000;  // ms, for starts and queries
-  Duration resend_after = 5000;  // ms without a word until a request is sent
-                                 // once more, in case it or its reply was lost
+  Duration max_coordinator_wait = 8000;  // ms to wait for a successor
+  Duration reply_margin = 6000;          // ms past the deadline for the reply
+  Duration default_deadline = 60000;     // ms, for starts and queries
+  Duration resend_after = 5000;  // ms until an unanswered request is resent
 };
 
 class Entry {
@@ -48,17 +46,17 @@
 
  private:
   struct Pending {
-    Message     message;  // as first given
+    Message     message;  // as received from the caller
     ProgramId   program;  // unset for a start without a parent
     Time        arrived = 0;
     Time        deadline = 0;
     int         attempts = 0;
     Time        retry_at = 0;       // 0: sent, waiting for the reply
-    Time        waiting_since = 0;  // 0: not waiting for a new home
+    Time        waiting_since = 0;  // 0: not waiting for a new coordinator
     NodeRef     sent_to;            // empty: never sent
     Time        sent_at = 0;
-    bool        may_have_run = false;  // some attempt may have arrived
-    std::string streamed;              // text already passed on
+    bool        may_have_run = false;  // some attempt may have been received
+    std::string streamed;              // text already sent to the caller
   };
   using Requests = std::map<std::uint64_t, Pending>;
 
@@ -75,7 +73,7 @@
 
   void Accept(std::uint64_t request, Pending pending, Time now);
   void TrySend(std::uint64_t request, Time now);
-  // Where the request goes now; a failure if there is no such place.
+  // The node to send the request to, or the failure if there is none.
   tl::expected<NodeRef, Failure> Target(const Pending& pending) const;
   tl::expected<NodeRef, Failure> ChooseCoordinator(const std::string& model,
                                                    std::uint64_t request) const;
@@ -86,7 +84,7 @@
   void     OnChunk(const NodeRef& from, const CallChunk& chunk, Time now);
   void     OnReply(const NodeRef& from, std::uint64_t request, bool ok,
                    const Failure& failure, const Message& reply, Time now);
-  void     OnCoordinatorLost(const NodeRef& node, Time now);
+  void     OnCoordinatorUnreachable(const NodeRef& node, Time now);
   Pending* FindFrom(const NodeRef& from, std::uint64_t request);
   static Message FailureReply(const Message& request_message,
                               std::uint64_t request, const Failure& failure);
@@ -99,7 +97,7 @@
   Membership    m_membership;
   RetryBudget   m_retries;
   Requests      m_pending;
-  bool          m_ready = false;  // holds a control state
+  bool          m_ready = false;  // has a control state
   bool          m_draining = false;
   bool          m_stopped = false;
 };
--- a/src/yuccawick/core/executor.cc
+++ b/src/yuccawick/core/executor.cc
@@ -9,19 +9,13 @@
 namespace yuccawick::core {
 namespace {
 
-// A prompt below this part of the engine's memory is small.
+// A prompt is small if it is below this fraction (1/n) of the engine's memory.
 constexpr Tokens   kSmallPromptDivisor = 50;
 constexpr Duration kMinRetryDelay = 1000;  // ms
 constexpr Duration kRetryJitter = 1000;    // ms
 
 }  // namespace
 
-// Index
-//   Orders       taking, refusing and finding calls again
-//   Running      the server's answers
-//   Queue        what runs next, what has waited too long
-//   Memory       prefixes and remembered calls
-
 Executor::Executor(NodeRef self, ExecutorSettings settings,
                    Safeguards safeguards, const QueuePolicy& policy,
                    Outbox& outbox)
@@ -62,15 +56,15 @@
   const CallKey key{dispatch.call.program, dispatch.call.sequence};
   const bool    checked = m_safeguards.Has(Safeguard::kIncarnationCheck);
   if (checked && dispatch.executor != m_self) {
-    // An earlier incarnation may have run it and lost its memory of that.
+    // An earlier incarnation may have run it; its state is lost.
     Failure failure = core::Refuse(Reason::kWrongIncarnation);
     if (dispatch.call.unrepeatable)
       failure = {Reason::kOutcomeUnknown, Ran::kUnknown, 0};
     return Refuse(from, dispatch, failure);
   }
   if (IsFencedOff(dispatch)) {
-    // The sender was replaced while paused or cut off. Running its order could
-    // run a call a second time after the new owner has dealt with it.
+    // The sender was replaced while paused or partitioned. Its order could
+    // repeat a call that the new owner has handled already.
     m_outbox.Push(Count{Counter::kFencedOrders, "home", 1});
     return Refuse(from, dispatch, core::Refuse(Reason::kFenced));
   }
@@ -79,8 +73,8 @@
   if (m_safeguards.Has(Safeguard::kExecutorDedup) &&
       AnswerKnown(from, dispatch, key))
     return;
-  // Calls are forgotten some time after their deadline; a copy that is late
-  // beyond that must not be taken for a new call.
+  // Calls are forgotten some time after their deadline; a copy that arrives
+  // even later must not be taken for a new call.
   if (now > dispatch.call.deadline)
     return Refuse(from, dispatch, core::Refuse(Reason::kDeadline));
   if (!IsJoined())
@@ -98,9 +92,9 @@
   const bool repeated =
       entry.coordinator == from && dispatch.dispatch <= entry.order.dispatch;
   const bool finished = entry.phase == CallPhase::kDone;
-  // A new attempt at a call that may be repeated runs again.
+  // A new attempt at a repeatable call runs again.
   if (finished && !repeated && !dispatch.call.unrepeatable) return false;
-  // So does one that was given up before it started.
+  // So does a call that was cancelled before it started.
   if (finished && !repeated && entry.reply.failure.ran == Ran::kNo &&
       !entry.reply.ok)
     return false;
@@ -126,7 +120,7 @@
   const Duration allowed =
       std::min<Duration>(dispatch.max_wait, dispatch.call.deadline - now);
   if (wait > allowed) {
-    // It could not start in time: the caller is told now, with when to return.
+    // It cannot start in time: refuse now, with a retry delay.
     return Refuse(from, dispatch,
                   core::Refuse(Reason::kOverloaded,
                                RetryDelay(dispatch, wait - allowed)));
@@ -137,8 +131,8 @@
 }
 
 Duration Executor::RetryDelay(const Dispatch& dispatch, Duration min_delay) {
-  // Callers that are all told the same moment would all be back at it; and one
-  // told "in a millisecond" would only ask for ever.
+  // Jitter keeps callers from retrying all at once; the minimum keeps them from
+  // retrying in a tight loop.
   const auto spread =
       static_cast<Duration>(PairHash(ToString(dispatch.call.program),
                                      std::to_string(dispatch.dispatch)) %
@@ -158,8 +152,8 @@
       GetCallChart().Fire(&entry.phase, CallEvent::kGiveUp);
       return Finish(CallKey(key), reply, now);
     }
-    // An order that may not be repeated is left to finish: stopping it halfway
-    // would leave an outcome nobody knows.
+    // An unrepeatable call is left to finish, since stopping it would leave an
+    // unknown outcome.
     const bool stop = entry.phase == CallPhase::kRunning &&
                       !entry.order.call.unrepeatable && !entry.cancelled;
     if (!stop) return;
@@ -185,7 +179,7 @@
   const CallKey key{fence.program, fence.sequence};
   const auto    it = m_entries.find(key);
   if (it != m_entries.end() && it->second.phase == CallPhase::kQueued) {
-    // Still waiting: with the fence raised it will never run.
+    // Still queued: with the fence raised it will never run.
     m_queue.erase(key);
     GetCallChart().Fire(&it->second.phase, CallEvent::kGiveUp);
     DispatchReply given_up;
@@ -264,7 +258,8 @@
   reply.load_ms = static_cast<std::uint64_t>(LoadMs());
   reply.resident = ResidentTokens();
   entry.reply = reply;
-  // The answer of a repeatable call is not needed again; the prompt never.
+  // The prompt is never needed again, and the answer only for unrepeatable
+  // calls.
   entry.order.prompt.clear();
   m_outbox.Send(entry.coordinator, std::move(reply));
   if (!entry.order.call.unrepeatable) entry.reply.answer.text.clear();
@@ -302,11 +297,11 @@
   Duration     work = 0;
   for (const auto& key : m_queue) {
     const Entry& other = m_entries.at(key);
-    // What waits for room does not keep a call that has room from starting.
+    // A call that waits for memory does not delay a call that fits.
     if (fits && !FitsInMemory(other)) continue;
     if (m_policy.Rank(Describe(other), now) <= rank) work += Estimate(other);
   }
-  // Calls at the server are on average halfway through.
+  // Running calls are assumed to be halfway through.
   for (const auto& [run, key] : m_runs) work += Estimate(m_entries.at(key)) / 2;
   return work / static_cast<Duration>(m_settings.slots);
 }
@@ -339,9 +334,9 @@
 bool Executor::FitsInMemory(const Entry& entry) const {
   const Tokens prompt = EstimateTokens(entry.order.prompt);
   const Tokens limit = m_settings.prefix_tokens;
-  // More programs than fit drive each other's prefixes out, and the engine
-  // computes prompts instead of answers. A new one waits until one has ended;
-  // small ones are let in, since they hardly crowd and may be urgent.
+  // Programs that do not fit evict each other's prefixes, and the engine spends
+  // its time recomputing prompts. A new program waits until another has ended;
+  // small ones are admitted, since they need little memory.
   if (limit == 0 || prompt * kSmallPromptDivisor < limit) return true;
   if (m_runs.empty() || m_prefixes.contains(entry.order.call.program))
     return true;
@@ -408,8 +403,8 @@
   for (const auto& [program, prefix] : m_prefixes) {
     if (now - prefix.used > m_settings.prefix_hold) unused.push_back(program);
   }
-  // A release lost on the way, or a home that vanished, must not keep engine
-  // memory held: every prefix is on a lease that only use extends.
+  // A lost release message or a failed coordinator must not leak engine memory,
+  // so every prefix has a lease that only use renews.
   for (const auto& program : unused) OnRelease(program);
   std::erase_if(m_fences, [&](const auto& item) {
     const CallKey first{item.first, 0};
--- a/src/yuccawick/core/executor.h
+++ b/src/yuccawick/core/executor.h
@@ -1,12 +1,11 @@
-// The agent's half that stands before its backend server.
+// Runs calls at the agent's backend server.
 //
-// Executor is the only source of orders for that server. It queues calls by the
-// queue policy, refuses at once what cannot start in time, remembers every call
-// it was given so that none runs twice, and refuses orders from a home that has
+// Executor is the only source of orders to that server. It orders the queue by
+// the queue policy, refuses calls that cannot start in time, remembers each
+// call so that none runs twice, and refuses orders of coordinators that have
 // been replaced. It also holds the leases on prefixes in the engine's memory.
 //
-// It answers truthfully whether a call ran: kNo only while the order has not
-// been given to the server.
+// It reports Ran::kNo only for calls that were never given to the server.
 #pragma once
 
 #include <map>
@@ -23,13 +22,12 @@
 
 struct ExecutorSettings {
   BackendKind kind = BackendKind::kModel;
-  std::size_t slots = 8;                    // calls at the server at once
-  double      prefill_tokens_per_ms = 10;   // to estimate waits
-  double      decode_tokens_per_ms = 0.05;  // per call
-  Tokens      prefix_tokens = 0;     // engine memory for prefixes; 0: not known
-  Duration    prefix_hold = 120000;  // ms an unused prefix is kept
-  Duration    clock_margin = 2000;   // ms a finished call is remembered past
-                                     // its deadline
+  std::size_t slots = 8;                    // concurrent calls at the server
+  double      prefill_tokens_per_ms = 10;   // for wait estimates
+  double      decode_tokens_per_ms = 0.05;  // per call, for wait estimates
+  Tokens      prefix_tokens = 0;     // engine memory for prefixes; 0: unknown
+  Duration    prefix_hold = 120000;  // ms until an unused prefix is released
+  Duration    clock_margin = 2000;   // ms past its deadline a call is known
 };
 
 class Executor {
@@ -37,8 +35,8 @@
   Executor(NodeRef self, ExecutorSettings settings, Safeguards safeguards,
            const QueuePolicy& policy, Outbox& outbox);
 
-  // This incarnation has joined; orders carry `joined` as fencing number. Drops
-  // whatever an earlier incarnation left in the engine's memory.
+  // This incarnation has joined: orders carry `joined` as fencing number.
+  // Releases all prefixes left in the engine by earlier incarnations.
   void OnJoined(Offset joined);
   bool IsJoined() const { return m_joined != kNoOffset; }
 
@@ -50,31 +48,31 @@
   void OnRunDone(const RunDone& done, Time now);
   void OnTick(Time now);
 
-  // Refuses new calls; those accepted are finished.
+  // Refuses new calls; accepted calls finish.
   void StartDraining() { m_draining = true; }
   bool IsIdle() const { return m_queue.empty() && m_runs.empty(); }
-  // Drops every prefix (planned stop).
+  // Releases every prefix (planned stop).
   void ReleaseAll();
 
-  // Time a call arriving now would wait, ms.
+  // Estimated wait of a new call, ms.
   Duration    LoadMs() const;
   Tokens      CachedTokens(const ProgramId& program) const;
   std::size_t QueueLength() const { return m_queue.size(); }
   std::size_t RunningCount() const { return m_runs.size(); }
   std::size_t PrefixCount() const { return m_prefixes.size(); }
-  Tokens      ResidentTokens() const;  // of all prefixes leased
+  Tokens      ResidentTokens() const;  // sum over all leased prefixes
 
  private:
   using CallKey = std::pair<ProgramId, Sequence>;
   struct Entry {
-    NodeRef       coordinator;  // who is told the outcome
+    NodeRef       coordinator;  // receives the outcome
     Dispatch      order;
     CallPhase     phase = CallPhase::kQueued;
     Time          arrived = 0;
     std::uint64_t run = 0;
-    std::uint64_t position = 0;  // bytes streamed
+    std::uint64_t position = 0;  // bytes streamed so far
     bool          cancelled = false;
-    DispatchReply reply;  // once done
+    DispatchReply reply;  // set when done
     Time          done_at = 0;
   };
   struct Prefix {
@@ -85,7 +83,7 @@
   void Refuse(const NodeRef& coordinator, const Dispatch& dispatch,
               Failure failure);
   bool IsFencedOff(const Dispatch& dispatch) const;
-  // True if the call was known already and has been dealt with.
+  // Returns true if the call is known and has been handled.
   bool AnswerKnown(const NodeRef& from, const Dispatch& dispatch,
                    const CallKey& key);
   void Enqueue(const NodeRef& from, const Dispatch& dispatch, Time now);
@@ -94,9 +92,9 @@
   void StartRun(const CallKey& key, Time now);
   void ExpireQueued(Time now);
   void ForgetOld(Time now);
-  // True if the engine has room for the call's program beside the others.
+  // True if engine memory allows the call to start.
   bool FitsInMemory(const Entry& entry) const;
-  // When to come back, at least `least` ms from now.
+  // Retry delay for the caller, at least `min_delay` ms.
   static Duration RetryDelay(const Dispatch& dispatch, Duration min_delay);
   Duration        Estimate(const Entry& entry) const;
   Duration        WaitAhead(const Entry& entry, Time now) const;
--- a/src/yuccawick/core/hash.h
+++ b/src/yuccawick/core/hash.h
@@ -1,4 +1,5 @@
-// One hash, the same on every node and in every run.
+// Hash function for rendezvous ranking and load spreading; stable across nodes
+// and runs.
 #pragma once
 
 #include <cstdint>
@@ -6,7 +7,7 @@
 
 namespace yuccawick::core {
 
-// A well-mixed hash of two names.
+// Returns a uniformly distributed hash of two names.
 std::uint64_t PairHash(std::string_view a, std::string_view b);
 
 }  // namespace yuccawick::core
--- a/src/yuccawick/core/membership.cc
+++ b/src/yuccawick/core/membership.cc
@@ -49,8 +49,8 @@
   m_watched.erase(m_self);
   for (const auto& node : m_watched) {
     Peer& peer = PeerOf(node, now);
-    // A peer that was not watched may not have been heard for long, though it
-    // is well. Judged by that, it would be claimed the moment it is watched.
+    // An unwatched peer may have sent nothing for long. Without a reset it
+    // would be claimed as soon as it is watched.
     if (!before.contains(node)) peer.last_received = now;
   }
 }
@@ -88,8 +88,8 @@
 void Membership::OnVmList(const VmListRead& list, Time now) {
   std::map<std::string, bool> listed;
   for (const auto& entry : list.vms) listed[entry.vm] = entry.leaving;
-  // The list lags: a VM not on it may be new. Only one that was on it and is
-  // no more has been removed.
+  // The list lags, so a VM that is missing may be new. Only a VM that was
+  // listed before has been removed.
   for (const auto& [vm, leaving] : m_listed) {
     if (!listed.contains(vm)) m_unlisted.insert(vm);
   }
@@ -118,8 +118,8 @@
 void Membership::OnTick(Time now) {
   const Duration pause = m_last_tick == 0 ? 0 : now - m_last_tick;
   m_last_tick = now;
-  // After a pause of this node every peer looks silent. Suspecting them all
-  // would claim programs of healthy homes; give each a fresh chance instead.
+  // After a pause of this node all peers look unreachable. Resetting their
+  // timers avoids claims of healthy coordinators.
   const bool paused = m_safeguards.Has(Safeguard::kPauseDetection) &&
                       pause > m_settings.suspect_after / 2;
   std::erase_if(m_temporary,
@@ -156,7 +156,7 @@
   const PeerPhase phase =
       it == m_peers.end() ? PeerPhase::kUnknown : it->second.phase;
   const bool leaving = member->leaving || phase == PeerPhase::kLeaving;
-  // A server that is leaving would be stopped with the new work on it.
+  // New work on a leaving server would be cut off when it stops.
   if (leaving && m_safeguards.Has(Safeguard::kLeavingStopsWork)) return false;
   return phase == PeerPhase::kUnknown || phase == PeerPhase::kAlive ||
          phase == PeerPhase::kLeaving;
@@ -176,7 +176,7 @@
   return m_unlisted.contains(node.vm);
 }
 
-Duration Membership::SilentFor(const NodeRef& node, Time now) const {
+Duration Membership::UnreachableFor(const NodeRef& node, Time now) const {
   const auto it = m_peers.find(node);
   const bool suspect =
       it != m_peers.end() && it->second.phase == PeerPhase::kSuspect;
@@ -184,9 +184,10 @@
 }
 
 bool Membership::IsPresumedDead(const NodeRef& node, Time now) const {
-  // One broken connection makes a peer suspect; only lasting silence, watched
-  // from here, is reason enough to take its programs over.
-  return IsReplaced(node) || SilentFor(node, now) > m_settings.suspect_after;
+  // A broken connection makes a peer suspect, but only a lasting lack of
+  // messages observed by this node justifies a claim.
+  return IsReplaced(node) ||
+         UnreachableFor(node, now) > m_settings.suspect_after;
 }
 
 Duration Membership::LoadOf(const NodeRef& node) const {
--- a/src/yuccawick/core/membership.h
+++ b/src/yuccawick/core/membership.h
@@ -1,9 +1,9 @@
-// Which peers are alive, as far as this node can tell.
+// Tracks which peers are alive, as observed by this node.
 //
-// Each node probes a few peers: those it depends on and a few chosen by hash,
-// never all. The platform's list lags and only adds to what probes show.
-// Silence makes a peer suspect, which steers new work away; ownership moves by
-// claims on the log alone.
+// Each node probes a few peers: those it depends on and some chosen by hash.
+// The platform's VM list lags and only supplements the probes. A peer that does
+// not respond becomes suspect and gets no new work; ownership changes only
+// through claims on the log.
 #pragma once
 
 #include <map>
@@ -20,16 +20,16 @@
 
 struct MembershipSettings {
   Duration    probe_interval = 500;  // ms between probes of one peer
-  Duration    suspect_after = 2000;  // ms of silence
-  std::size_t random_peers = 4;      // probed beside those depended on
+  Duration    suspect_after = 2000;  // ms without a message
+  std::size_t random_peers = 4;      // probed besides the dependencies
 };
 
 struct Peer {
   PeerPhase phase = PeerPhase::kUnknown;
-  Time      last_received = 0;  // last message from it
-  Time      probed = 0;         // last probe sent
-  Duration  load = 0;           // ms a new call would wait there, as last told
-  Tokens    resident = 0;       // tokens of the prefixes there, as last told
+  Time      last_received = 0;  // time of the last message
+  Time      probed = 0;         // time of the last probe
+  Duration  load = 0;           // wait of a new call, ms, as last reported
+  Tokens    resident = 0;       // tokens of resident prefixes, as last reported
   Offset    control_version = kNoOffset;
 };
 
@@ -38,35 +38,38 @@
   Membership(NodeRef self, MembershipSettings settings, Safeguards safeguards,
              const Control& control, Outbox& outbox);
 
-  // Peers this node depends on; probed besides a few random ones.
+  // Sets the peers this node depends on; they are probed along with a few
+  // others chosen by hash.
   void Watch(const std::set<NodeRef>& peers, Time now);
 
-  // Probes the node for a short while, since something here waits for it.
+  // Probes the node for one more probe interval; called while a request to it
+  // is pending.
   void ProbeTemporarily(const NodeRef& node, Time now);
 
   void OnMessage(const NodeRef& from, Time now);
   void OnProbeReply(const NodeRef& from, const ProbeReply& reply, Time now);
   void OnLoad(const NodeRef& from, Duration load, Tokens resident);
-  // The node has refused work because it is leaving.
+  // The node refused work because it is leaving.
   void OnLeaving(const NodeRef& node, Time now);
   void OnSendFailed(const NodeRef& to, Time now);
   void OnVmList(const VmListRead& list, Time now);
   void OnControl();
   void OnTick(Time now);
 
-  // May be given new work: not suspect, leaving, gone or claimed.
+  // True if new work may be sent: not suspect, leaving, gone or claimed.
   bool     IsUsable(const NodeRef& node) const;
   bool     IsSuspect(const NodeRef& node) const;
-  // Its VM has gone or runs a later incarnation.
+  // True if the VM is gone or runs a later incarnation.
   bool     IsReplaced(const NodeRef& node) const;
-  // How long it has been silent, ms; 0 unless it is suspect.
-  Duration SilentFor(const NodeRef& node, Time now) const;
-  // Certainly replaced, or silent for long enough to be claimed.
+  // Time since the last message, ms; 0 unless the node is suspect.
+  Duration UnreachableFor(const NodeRef& node, Time now) const;
+  // True if the node was replaced, or has been unreachable for long enough to
+  // be claimed.
   bool     IsPresumedDead(const NodeRef& node, Time now) const;
   Duration LoadOf(const NodeRef& node) const;
   Tokens   ResidentOf(const NodeRef& node) const;
   const std::map<NodeRef, Peer>& peers() const { return m_peers; }
-  // A peer whose control state is ahead of ours, if any.
+  // A peer with a higher control version; null if none.
   const NodeRef*                 PeerAhead() const;
 
  private:
@@ -81,14 +84,14 @@
   Outbox&                     m_outbox;
   std::map<NodeRef, Peer>     m_peers;
   std::set<NodeRef>           m_watched;
-  std::map<NodeRef, Time>     m_temporary;  // until when they are probed
-  std::map<std::string, bool> m_listed;     // VM to leaving, as last listed
-  std::set<std::string>       m_unlisted;   // were listed, are no more
+  std::map<NodeRef, Time>     m_temporary;  // probed until the given time
+  std::map<std::string, bool> m_listed;    // VM to leaving flag, as last listed
+  std::set<std::string>       m_unlisted;  // VMs removed from the list
   Time                        m_last_tick = 0;
 };
 
-// Picks the `count` members that rank highest by a hash of their name and
-// `self`; the same on every node, spread evenly.
+// Returns the `count` members that rank highest by a hash of their name and
+// `self`. Spreads probes evenly without coordination.
 std::vector<NodeRef> PickPeers(const NodeRef& self, const Control& control,
                                std::size_t count);
 
--- a/src/yuccawick/core/messages.h
+++ b/src/yuccawick/core/messages.h
@@ -1,11 +1,11 @@
-// Messages between nodes, and the events and commands of the core.
+// Messages between nodes, and events and commands of the core.
 //
-// The core is pure: a daemon (or a test) hands it one event with the time, and
-// carries out the commands it returns. Nothing inside reads a clock, opens a
-// socket, starts a thread or draws from a global random source.
+// The core is deterministic: a daemon (or a test) passes it one event with the
+// current time and carries out the commands it returns. The core reads no
+// clock, opens no socket, starts no thread and uses no global random source.
 //
-// Messages may be lost, repeated, crossed and late; every handler must bear
-// that. Replies carry the number of their request.
+// Messages may be lost, duplicated, reordered or delayed; every handler must
+// tolerate that. Replies carry the number of their request.
 #pragma once
 
 #include <optional>
@@ -20,10 +20,10 @@
 
 namespace yuccawick::core {
 
-// ---- Between entry and home
+// ---- Between entry and coordinator
 
 struct StartProgram {
-  std::uint64_t request = 0;  // entry's number for the caller's request
+  std::uint64_t request = 0;  // entry's number for the request
   std::string   customer;
   std::string   workspace;
   std::string   model;
@@ -67,8 +67,8 @@
   }
 };
 
-// Part of an answer, in order; a hint for streaming. The reply is complete in
-// itself, so a lost or crossed chunk costs time to first token and no text.
+// Part of an answer, for streaming. The reply contains the complete text, so a
+// lost or reordered chunk only delays the first token.
 struct CallChunk {
   std::uint64_t request = 0;
   std::uint64_t position = 0;  // bytes of the answer before this text
@@ -97,7 +97,7 @@
   }
 };
 
-// Asks for a program's history, or ends it.
+// Reads a program's history, or ends the program.
 struct ProgramQuery {
   std::uint64_t request = 0;
   ProgramId     program;
@@ -130,7 +130,7 @@
   }
 };
 
-// The caller of a request has gone away.
+// The caller of a request has disconnected.
 struct CancelRequest {
   std::uint64_t request = 0;
   ProgramId     program;
@@ -142,18 +142,18 @@
   }
 };
 
-// ---- Between home and executor (the agent beside the backend server)
+// ---- Between coordinator and executor
 
 struct Dispatch {
-  std::uint64_t dispatch = 0;  // home's number for this attempt
+  std::uint64_t dispatch = 0;  // coordinator's number for this attempt
   Offset        fence = kNoOffset;
-  NodeRef       executor;  // the one incarnation meant
+  NodeRef       executor;  // the incarnation addressed
   Call          call;
   std::string   prompt;  // history before the call; empty for services
   std::int64_t  priority = 5;
-  Duration      max_wait = 0;  // ms it may wait for the backend server
-  Time          started = 0;   // when the whole program started
-  Tokens        attained = 0;  // service the whole program has had
+  Duration      max_wait = 0;  // ms that it may wait for the backend server
+  Time          started = 0;   // start time of the root program
+  Tokens        attained = 0;  // service received by the root program, tokens
   std::int64_t  cache_weight = 50;
 
   template <class V>
@@ -189,8 +189,8 @@
   bool          ok = false;
   Answer        answer;
   Failure       failure;
-  std::uint64_t load_ms = 0;   // wait a new call would meet there, ms
-  Tokens        resident = 0;  // tokens of all prefixes leased there
+  std::uint64_t load_ms = 0;   // estimated wait of a new call there, ms
+  Tokens        resident = 0;  // tokens of all leased prefixes there
 
   template <class V>
   void Visit(V& v) {
@@ -222,7 +222,7 @@
   }
 };
 
-// ---- Between home and replica
+// ---- Between coordinator and replica
 
 struct Replicate {
   std::uint64_t             batch = 0;
@@ -248,13 +248,13 @@
 
 // ---- Between adopter and executor
 
-// From now on refuse orders for the program below `fence`, and say what became
-// of the call.
+// Requests that the executor refuse orders for the program below `fence`, and
+// report the state of the call.
 struct FenceCall {
   ProgramId program;
   Sequence  sequence = 0;
   Offset    fence = kNoOffset;
-  NodeRef   executor;  // the incarnation asked
+  NodeRef   executor;  // the incarnation addressed
 
   template <class V>
   void Visit(V& v) {
@@ -266,10 +266,10 @@
 };
 
 enum class FencedState : std::uint8_t {
-  kNeverSeen,  // did not run and, fenced, never will
-  kRunning,    // running now; ask again
-  kFinished,   // `ok`, `answer` and `failure` hold
-  kNotMe,      // that incarnation is gone
+  kNeverSeen,  // did not run and, being fenced, never will
+  kRunning,    // still running; ask again
+  kFinished,   // `ok`, `answer` and `failure` are valid
+  kNotMe,      // that incarnation no longer exists
 };
 
 struct FenceReply {
@@ -340,13 +340,13 @@
                  Replicate, ReplicateReply, FenceCall, FenceReply, Probe,
                  ProbeReply, ControlPull, ControlPush>;
 
-// ---- Events: what a daemon tells the core
+// ---- Events: from the daemon to the core
 
 struct Tick {};  // time has passed
 
 struct MessageReceived {
   NodeRef from;
-  NodeRef to;  // the incarnation meant
+  NodeRef to;  // the incarnation addressed
   Message message;
 };
 
@@ -356,9 +356,9 @@
   Message message;
 };
 
-// A message may or may not have arrived; no reply will come from that node
-// until it is heard again. If no connection could be made at all, the message
-// certainly has not left: it is handed back in `unsent`.
+// A message may not have arrived; expect no reply from that node until its next
+// message. If no connection could be made, the message certainly was not sent
+// and is returned in `unsent`.
 struct SendFailed {
   NodeRef                to;
   std::optional<Message> unsent;
@@ -367,7 +367,7 @@
 enum class LogStatus : std::uint8_t {
   kOk,       // done
   kRefused,  // certainly not done
-  kUnknown,  // no answer: may have been done
+  kUnknown,  // no reply: may have been done
 };
 
 struct AppendDone {
@@ -382,7 +382,7 @@
   LogStatus                 status = LogStatus::kOk;
   std::vector<LoggedRecord> records;
   Offset                    earliest = 0;  // first offset still retained
-  Offset                    end = 0;       // offset the next append will get
+  Offset                    end = 0;       // offset of the next append
 };
 
 struct VmEntry {
@@ -393,7 +393,7 @@
   bool operator==(const VmEntry&) const = default;
 };
 
-// The platform's list as it stood some time ago.
+// The platform's VM list, which may be out of date.
 struct VmListRead {
   std::vector<VmEntry> vms;
 };
@@ -410,14 +410,15 @@
   Failure       failure;
 };
 
-// SIGTERM: finish what is under way, take nothing new, hand over, stop.
+// SIGTERM: accept no new work, finish calls in progress, hand over programs,
+// stop.
 struct StopRequested {};
 
 using Event =
     std::variant<Tick, MessageReceived, CallerMessage, SendFailed, AppendDone,
                  ReadDone, VmListRead, RunChunk, RunDone, StopRequested>;
 
-// ---- Commands: what the core tells a daemon
+// ---- Commands: from the core to the daemon
 
 struct SendMessage {
   NodeRef to;
@@ -436,7 +437,7 @@
   Offset        from = 0;
 };
 
-// Order to the backend server beside this agent.
+// Runs a call at the backend server beside this agent.
 struct RunCall {
   std::uint64_t run = 0;
   Offset        fence = kNoOffset;  // offset of this agent's join
@@ -449,14 +450,14 @@
   std::uint64_t run = 0;
 };
 
-// Order to drop one program's prefix; an unset id drops all of them.
+// Releases one program's prefix; an unset id releases all prefixes.
 struct ReleasePrefix {
   ProgramId program;
   Offset    fence = kNoOffset;
 };
 
-// Answers to callers (entry only); `reply` is a StartReply, CallChunk,
-// CallReply or ProgramReply.
+// Reply to a caller (entry only); `reply` is a StartReply, CallChunk, CallReply
+// or ProgramReply.
 struct ReplyToCaller {
   std::uint64_t request = 0;
   Message       reply;
@@ -504,7 +505,7 @@
   kAppends,        // by stream kind
   kMessages,       // sent, by message name
   kFencedOrders,   // orders refused because of an old fence
-  kStaleMessages,  // messages that answered nothing
+  kStaleMessages,  // messages that matched no request
 };
 constexpr std::size_t kCounterCount = 8;
 std::string_view      Name(Counter counter);
@@ -517,7 +518,7 @@
 
 enum class StopCause : std::uint8_t {
   kDrained,     // planned stop finished
-  kSuperseded,  // another node has claimed this one's programs
+  kSuperseded,  // another node has claimed its programs
 };
 std::string_view Name(StopCause cause);
 
@@ -529,7 +530,7 @@
     std::variant<SendMessage, AppendRecords, ReadRecords, RunCall, CancelRun,
                  ReleasePrefix, ReplyToCaller, LogLine, Count, Stop>;
 
-// Collects commands for the shell, and numbers appends, reads and the like.
+// Collects commands for the daemon, and numbers appends, reads and dispatches.
 class Outbox {
  public:
   void          Send(const NodeRef& to, Message message);
@@ -539,9 +540,9 @@
   void          CountRefusal(Reason reason);
   void          CountRetry(Reason reason);
 
-  // A number never given before by this outbox.
+  // Returns a number that this outbox has not returned before.
   std::uint64_t        NextNumber() { return ++m_number; }
-  // Takes the commands collected since the last call, in order.
+  // Returns the commands collected since the last call, in order.
   std::vector<Command> Take();
 
  private:
--- a/src/yuccawick/core/program.cc
+++ b/src/yuccawick/core/program.cc
@@ -39,8 +39,8 @@
 void ProgramState::Apply(const ProgramDelta& delta) {
   for (const auto& turn : delta.turns) {
     const auto [it, added] = turns.emplace(turn.call.sequence, turn);
-    // A home that was replaced while frozen may still write a turn that nobody
-    // was told of; the owner's turn of that sequence stands.
+    // A coordinator that was replaced while paused may still write a turn that
+    // was never acknowledged; the current owner's turn wins.
     if (!added && turn.fence > it->second.fence) it->second = turn;
   }
   const bool newer = std::tie(delta.meta.fence, delta.meta.revision) >
--- a/src/yuccawick/core/program.h
+++ b/src/yuccawick/core/program.h
@@ -1,10 +1,10 @@
-// What is kept of one program: its calls in order, its history, its spending.
+// State of a program: its calls, history and spending.
 //
-// A program is owned by one home at a time. ProgramDelta is the unit in which
-// that state is copied to the replica, written to the log and read back after a
-// failure. Applying deltas is idempotent and order-free: a turn is keyed by its
-// sequence, and of two the one written under the higher claim stands; the rest
-// goes by claim and revision.
+// Each program is owned by one coordinator at a time. ProgramDelta is the unit
+// that is copied to replicas, written to the log and read back after a failure.
+// Applying deltas is idempotent and independent of order: of two versions of a
+// turn the one with the higher fence wins, and metadata is ordered by fence and
+// revision.
 #pragma once
 
 #include <cstdint>
@@ -19,8 +19,8 @@
 
 struct Usage {
   Tokens prompt = 0;      // tokens of the whole prompt
-  Tokens cached = 0;      // of these, found in the prefix cache
-  Tokens completion = 0;  // tokens generated
+  Tokens cached = 0;      // prompt tokens found in the prefix cache
+  Tokens completion = 0;  // generated tokens
 
   bool operator==(const Usage&) const = default;
   template <class V>
@@ -32,8 +32,8 @@
 };
 
 struct Answer {
-  std::string text;   // whole text of the answer
-  Usage       usage;  // as the backend server counted it
+  std::string text;   // complete text
+  Usage       usage;  // as reported by the backend server
 
   bool operator==(const Answer&) const = default;
   template <class V>
@@ -45,18 +45,18 @@
 
 using Outcome = tl::expected<Answer, Failure>;
 
-// One call as its program issued it.
+// A call as issued by its program.
 struct Call {
   ProgramId   program;
   std::string customer;
   std::string workspace;
   Sequence    sequence = 0;  // 1 for the first call of the program
   BackendKind kind = BackendKind::kModel;
-  std::string target;                // model or service name
+  std::string target;                // name of the model or service
   std::string body;                  // new user content or tool arguments
-  Tokens      max_tokens = 0;        // most tokens to generate
-  bool        unrepeatable = false;  // may run at most once
-  Time        deadline = 0;          // no use after this
+  Tokens      max_tokens = 0;        // limit of generated tokens
+  bool        unrepeatable = false;  // must run at most once
+  Time        deadline = 0;          // the caller stops waiting at this time
 
   template <class V>
   void Visit(V& v) {
@@ -73,17 +73,17 @@
   }
 };
 
-// True if two calls of one sequence are the same request issued again.
+// True if two calls with the same sequence number are the same request.
 bool SameRequest(const Call& a, const Call& b);
 
-// A finished call. An unrepeatable call whose outcome nobody can know is a turn
-// too, so that it is never run again.
+// A finished call. An unrepeatable call with unknown outcome is stored as a
+// turn too, so that it never runs again.
 struct Turn {
   Call    call;
   Answer  answer;
-  bool    failed = false;  // `failure` holds, not `answer`
+  bool    failed = false;  // `failure` is valid, not `answer`
   Failure failure;
-  Offset  fence = kNoOffset;  // claim its owner held when writing this
+  Offset  fence = kNoOffset;  // claim under which the owner wrote this
 
   Outcome ToOutcome() const;
   template <class V>
@@ -96,11 +96,11 @@
   }
 };
 
-// Held safely before an unrepeatable call is sent, so that whoever takes over
-// knows where it may have run.
+// Made durable before an unrepeatable call is sent, so that a new owner knows
+// where the call may have run.
 struct Intent {
   Call    call;      // sequence 0: no intent
-  NodeRef executor;  // the one incarnation it is sent to
+  NodeRef executor;  // the incarnation that it is sent to
 
   bool IsSet() const { return call.sequence != 0; }
   template <class V>
@@ -114,16 +114,16 @@
   ProgramId     id;
   std::string   customer;
   std::string   workspace;
-  std::string   model;              // the model the program was started for
-  std::string   service_class;      // class of the contract
+  std::string   model;              // model that the program was started for
+  std::string   service_class;      // service class of the contract
   ProgramId     parent;             // set for a sub-agent
-  Offset        fence = kNoOffset;  // claim its owner held when writing this
-  std::uint64_t revision = 0;       // grows with every change of one owner
-  Tokens        spent = 0;          // own spending, reservations included
+  Offset        fence = kNoOffset;  // claim under which the owner wrote this
+  std::uint64_t revision = 0;       // incremented by the owner on every change
+  Tokens        spent = 0;  // spending of this program, including reservations
   bool          ended = false;
   Time          started = 0;
   Time          last_active = 0;
-  Intent        intent;  // open unrepeatable call
+  Intent        intent;  // unrepeatable call without a known outcome
 
   template <class V>
   void Visit(V& v) {
@@ -145,7 +145,7 @@
 
 struct ProgramDelta {
   ProgramMeta       meta;
-  std::vector<Turn> turns;  // the new ones, or all of them
+  std::vector<Turn> turns;  // new turns, or all of them
 
   template <class V>
   void Visit(V& v) {
@@ -159,16 +159,16 @@
   std::map<Sequence, Turn> turns;
 
   Sequence     NextSequence() const;
-  // Text the engine is given before the new call: every finished model turn.
+  // The prompt before a new call: the text of every finished model turn.
   std::string  Prompt() const;
   void         Apply(const ProgramDelta& delta);
-  // Everything, for a new replica or a rewrite in the log.
+  // The complete state as a delta.
   ProgramDelta ToDelta() const;
 };
 
-// The part of the prompt that one finished turn makes up.
+// The part of the prompt for one finished turn.
 std::string PromptOfTurn(const Turn& turn);
-// The whole prompt of a model call after the given history.
+// The complete prompt of a model call after the given history.
 std::string FullPrompt(std::string_view history, const Call& call);
 
 }  // namespace yuccawick::core
--- a/src/yuccawick/core/records.h
+++ b/src/yuccawick/core/records.h
@@ -1,13 +1,12 @@
-// Records of the platform's log: the only place where nodes agree.
+// Records of the platform's log, which is the only point of agreement.
 //
-// Streams:
-//   control            contracts, joins, replica assignments, claims, leaves
-//   history.<vm>       finished calls of the programs homed at that VM
-//   grants.<customer>  slices of the customer's budget and program slots
+// control            contracts, joins, replica sets, claims, leaves
+// history.<vm>       finished calls of coordinators on that VM
+// grants.<customer>  slices of the customer's budget and program slots
 //
-// The log gives no compare-and-set. Every conditional record names the state it
-// was written against, and each reader decides from log order alone whether it
-// took effect; all readers decide alike.
+// The log has no compare-and-set. A conditional record names the state that it
+// was written against; each reader decides from log order alone whether it
+// takes effect, so all readers agree.
 #pragma once
 
 #include <algorithm>
@@ -21,14 +20,14 @@
 
 namespace yuccawick::core {
 
-// An agent incarnation has started beside a backend server. Its offset is the
-// fencing number of the orders it gives to that server.
+// An agent incarnation has started beside a backend server. The record's offset
+// is the fencing number of its orders to that server.
 struct JoinRecord {
   NodeRef     node;
   std::string zone;  // availability zone
   BackendKind kind = BackendKind::kModel;
   std::string target;   // model or service name
-  std::string address;  // host:port of its RPC listener
+  std::string address;  // host:port of the RPC listener
   std::string server;   // name of the backend server
 
   template <class V>
@@ -42,8 +41,8 @@
   }
 };
 
-// From here on `replicas` are the only nodes that may claim `home`. Each of
-// them already holds everything the home has acknowledged.
+// From this record on, only `replicas` may claim `coordinator`. Each of them
+// already stores everything that the coordinator has acknowledged.
 struct ReplicaRecord {
   NodeRef              coordinator;
   std::vector<NodeRef> replicas;
@@ -68,7 +67,7 @@
   }
 };
 
-// The node takes no new work from here on.
+// The node accepts no new work after this record.
 struct LeaveRecord {
   NodeRef node;
 
@@ -78,11 +77,11 @@
   }
 };
 
-// In force if `amends` is the customer's version in force at that point.
+// Takes effect if `amends` is the version in force at this point.
 struct ContractRecord {
-  std::string amendment;           // unique per attempt, to find it again
-  Offset      amends = kNoOffset;  // version amended; kNoOffset: none yet
-  Contract    contract;
+  std::string amendment;  // unique id of the attempt, to find it in the log
+  Offset   amends = kNoOffset;  // version replaced; kNoOffset: first contract
+  Contract contract;
 
   template <class V>
   void Visit(V& v) {
@@ -92,7 +91,7 @@
   }
 };
 
-// Finished calls of programs homed at `home`.
+// Finished calls of programs owned by `coordinator`.
 struct HistoryRecord {
   NodeRef                   coordinator;
   std::vector<ProgramDelta> deltas;
@@ -109,13 +108,13 @@
 std::string_view      Name(Resource resource);
 
 // State of one resource of a customer just after `as_of`. Every grant carries
-// one, so the stream can be read from any record that retention has left.
+// one, so that the stream can be read from any retained record.
 struct GrantCheckpoint {
   Offset       as_of = kNoOffset;
   Offset       version = kNoOffset;  // contract version
   std::int64_t total = 0;
   std::int64_t granted = 0;
-  std::int64_t period = 0;  // number of the period; slots have period 0
+  std::int64_t period = 0;  // number of the period; 0 for program slots
 
   bool operator==(const GrantCheckpoint&) const = default;
   template <class V>
@@ -128,16 +127,16 @@
   }
 };
 
-// Takes `amount` out of the total (negative: gives it back). A grant above the
-// total is void. The holder of a grant is the only one to return it.
+// Takes `amount` out of the total; a negative amount releases it. A grant that
+// would exceed the total is void. Only the holder of a grant may release it.
 struct GrantRecord {
-  std::string     id;  // unique, so that a lost reply can be looked up
-  NodeRef         holder;
-  Resource        resource = Resource::kTokens;
-  std::int64_t    amount = 0;
-  Offset          version = kNoOffset;  // contract version it was made under
-  std::int64_t    total = 0;            // the total under that version
-  std::int64_t    period = 0;
+  std::string  id;  // unique, to find the record after a lost reply
+  NodeRef      holder;
+  Resource     resource = Resource::kTokens;
+  std::int64_t amount = 0;
+  Offset       version = kNoOffset;  // contract version that it was made under
+  std::int64_t total = 0;            // total under that version
+  std::int64_t period = 0;
   GrantCheckpoint checkpoint;
 
   template <class V>
@@ -168,7 +167,7 @@
 struct Member {
   JoinRecord join;
   Offset     joined = kNoOffset;  // fencing number of orders to its server
-  std::vector<NodeRef> replicas;  // hold all it has acknowledged
+  std::vector<NodeRef> replicas;  // store everything that it has acknowledged
   NodeRef              adopter;   // set once claimed
   Offset               claimed = kNoOffset;  // fencing number of the claim
   bool                 leaving = false;
@@ -188,9 +187,9 @@
   }
 };
 
-// The whole state of the control stream just after `as_of`. Written again
-// before retention drops its parts, and handed to nodes that start in an
-// outage.
+// The complete state of the control stream just after `as_of`. Appended again
+// before retention drops the records it is built from, and sent to nodes that
+// start while the log is unavailable.
 struct SnapshotRecord {
   Offset                       as_of = kNoOffset;
   std::vector<ContractInForce> contracts;
--- a/src/yuccawick/core/retry.cc
+++ b/src/yuccawick/core/retry.cc
@@ -27,8 +27,8 @@
 
 bool RetryBudget::Take(int attempts_made) {
   if (attempts_made >= m_settings.max_attempts) return false;
-  // Without a bound on retries, a node that refuses everything would be sent
-  // every request many times over, just when it can least bear it.
+  // Without this bound a node that refuses everything would receive each
+  // request many times while it is overloaded.
   if (m_tokens < 1) return false;
   m_tokens -= 1;
   return true;
--- a/src/yuccawick/core/retry.h
+++ b/src/yuccawick/core/retry.h
@@ -1,9 +1,8 @@
-// When to try again, and when not to.
+// Retry policy of the entry, the only node that retries.
 //
-// Only the entry retries; every other node passes failures on. A retry costs a
-// token of a bucket that fresh requests fill slowly, so that a fault cannot
-// multiply the load. The wait doubles with each attempt and is spread by a
-// random part drawn from the node's seed.
+// A retry takes a token from a bucket that new requests refill slowly, so that
+// a fault cannot multiply the load. The delay doubles with each attempt and has
+// random jitter drawn from the node's seed.
 #pragma once
 
 #include <random>
@@ -14,15 +13,15 @@
 namespace yuccawick::core {
 
 struct RetrySettings {
-  double   per_request = 0.2;  // retry tokens a fresh request adds
-  double   burst = 50;         // most tokens saved up
-  Duration initial_wait = 50;  // ms before the first retry, doubled each time
+  double   per_request = 0.2;  // retry tokens added by each new request
+  double   burst = 50;         // capacity of the token bucket
+  Duration initial_wait = 50;  // ms before the first retry; doubles each time
   Duration max_wait = 1000;    // ms
   int      max_attempts = 12;
 };
 
-// True if the reason is a passing state of the system and the request may be
-// sent again without the caller doing so.
+// True if the failure is transient and the request did not run, so that it may
+// be sent again on behalf of the caller.
 bool IsRetriable(const Failure& failure);
 
 class RetryBudget {
@@ -30,10 +29,10 @@
   RetryBudget(RetrySettings settings, std::uint64_t seed);
 
   void     OnFreshRequest();
-  // Takes one token; false if there is none or the attempts are used up.
+  // Takes one token. Returns false if none is left or the attempts are used up.
   bool     Take(int attempts_made);
-  // Wait before attempt number `attempts_made` + 1, at least what the refusing
-  // node asked for.
+  // Delay before attempt `attempts_made` + 1, at least `asked_for`, the retry
+  // delay of the refusing node. ms.
   Duration Wait(int attempts_made, Duration asked_for);
 
  private:
--- a/src/yuccawick/core/safeguards.h
+++ b/src/yuccawick/core/safeguards.h
@@ -1,8 +1,7 @@
-// Switches by which a test shows what a safeguard is for.
+// Switches that turn off single safeguards in tests.
 //
-// Every promise has a proof that fails with its safeguard off and passes with
-// it on. The daemons always run with Safeguards::All(); there is no setting for
-// these.
+// A test of a guarantee must fail with its safeguard off and pass with it on.
+// Daemons always run with Safeguards::All(); there is no setting for it.
 #pragma once
 
 #include <bitset>
@@ -12,25 +11,25 @@
 
 enum class Safeguard : std::uint8_t {
   kCallOrder,          // calls wait for their predecessors
-  kWorkspaceCheck,     // a program is served to its own workspace only
-  kDurableAnswer,      // an answer waits until its turn is held twice
-  kCoordinatorDedup,   // a finished sequence is answered from its turn
-  kReplicaClaimsOnly,  // only the assigned replica may claim
-  kIntentFirst,        // unrepeatable calls are recorded before they are sent
+  kWorkspaceCheck,     // a program is served only to its own workspace
+  kDurableAnswer,      // an answer waits until its turn is durable
+  kCoordinatorDedup,   // a finished call is answered from its turn
+  kReplicaClaimsOnly,  // only assigned replicas may claim
+  kIntentFirst,        // unrepeatable calls are recorded before dispatch
   kExecutorFence,      // orders below the highest fence are refused
-  kExecutorDedup,      // a call already seen is not run again
+  kExecutorDedup,      // a known call is not run again
   kIncarnationCheck,   // orders to an earlier incarnation are refused
-  kUnknownIsFinal,     // an unknown outcome is never run again
-  kGrantReadBack,      // a slice is spent only once the log shows it valid
-  kWorstCaseReserve,   // a call reserves its worst case before it is sent
-  kPrefixRelease,      // prefixes of ended programs are dropped
-  kReplyMatch,         // replies reach only the request they answer
-  kRanAccuracy,        // "did not run" is said only of what was never sent
-  kLeavingStopsWork,   // a leaving node gets nothing new
-  kDrainInFlight,      // a planned stop waits for work under way
-  kNewerControlOnly,   // an older control record changes nothing
-  kAmendsVersion,      // an amendment of a superseded version is void
-  kPauseDetection,     // after a pause of its own a node suspects nobody
+  kUnknownIsFinal,     // a call with unknown outcome is never run again
+  kGrantReadBack,      // a slice is spent only after it is read back
+  kWorstCaseReserve,   // a call reserves its worst-case cost
+  kPrefixRelease,      // prefixes of ended programs are released
+  kReplyMatch,         // replies are matched to their request
+  kRanAccuracy,        // Ran::kNo only for requests that were never sent
+  kLeavingStopsWork,   // a leaving node gets no new work
+  kDrainInFlight,      // a planned stop waits for calls in progress
+  kNewerControlOnly,   // older control records are ignored
+  kAmendsVersion,      // an amendment of an outdated version is void
+  kPauseDetection,     // a node that was paused suspects no peer
 };
 constexpr std::size_t kSafeguardCount =
     static_cast<std::size_t>(Safeguard::kPauseDetection) + 1;
--- a/src/yuccawick/core/scheduling.cc
+++ b/src/yuccawick/core/scheduling.cc
@@ -6,22 +6,22 @@
 namespace yuccawick::core {
 namespace {
 
-// One class of priority outweighs this many doublings of attained service.
+// One priority level outweighs this many doublings of attained service.
 constexpr double kPriorityStep = 4.0;
-// Waiting this part of the allowed time is worth one class of priority.
+// Priority levels gained by waiting for the complete allowed time.
 constexpr double kAgingClasses = 10.0;
-// At full cache weight, a token to recompute counts this many times over.
+// Weight of a token to recompute at full cache weight.
 constexpr double kCacheEmphasis = 8.0;
 constexpr double kFullWeight = 100.0;
 constexpr double kResidencyUnit = 1000.0;  // tokens
 
-// A program's age is worth at most this many classes, so that old work of an
-// ordinary class never goes before a new urgent call; half of it at kHalfAge
-// ms.
+// Upper bound of the priority levels gained by program age, so that old work of
+// a normal class never precedes a new urgent call. Half of it is reached at
+// kHalfAge.
 constexpr double kMaxAgeClasses = 4.5;
-constexpr double kHalfAge = 40'000;
+constexpr double kHalfAge = 40'000;  // ms
 
-// Classes gained by waiting: all of them by the end of the allowed time.
+// Priority levels gained by waiting so far.
 double Aging(const QueuedCall& call, Time now) {
   const double waited = static_cast<double>(now - call.arrived);
   const double allowed =
--- a/src/yuccawick/core/scheduling.h
+++ b/src/yuccawick/core/scheduling.h
@@ -1,14 +1,11 @@
-// Which call runs next, and where.
+// Policies that choose which call runs next and on which server.
 //
-// A program's graph is unknown, so its past is what there is to go by: the
-// service its calls have had (attained service), the prefix an engine may still
-// hold, and the class its contract gives it.
+// Future calls of a program are unknown, so the policies use its past: the
+// service that it has received (attained service), the prefix that an engine
+// may still hold, and its service class.
 //
-// QueuePolicy  ranks the calls waiting at one backend server
-// RoutePolicy  chooses among the backend servers of one model or service
-//
-// Both are small strategy objects; the baselines that ours is compared with
-// stand beside it.
+// QueuePolicy   ranks the calls waiting at one backend server
+// RoutePolicy   chooses among the backend servers of one model or service
 #pragma once
 
 #include <string_view>
@@ -20,13 +17,13 @@
 
 struct QueuedCall {
   std::int64_t priority = 5;       // 0 first, 9 last
-  Time         started = 0;        // when its program started
-  Tokens       attained = 0;       // service its program has had, tokens
+  Time         started = 0;        // start time of the program
+  Tokens       attained = 0;       // service received by the program, tokens
   Tokens       prompt = 0;         // tokens of the prompt
-  Tokens       cached = 0;         // of these, likely in the prefix cache
-  Tokens       max_tokens = 0;     // most tokens to generate
-  std::int64_t cache_weight = 50;  // 0 latency .. 100 cache
-  Duration     max_wait = 0;       // ms it may wait
+  Tokens       cached = 0;         // prompt tokens likely in the prefix cache
+  Tokens       max_tokens = 0;     // limit of generated tokens
+  std::int64_t cache_weight = 50;  // 0: favor latency, 100: favor cache hits
+  Duration     max_wait = 0;       // ms that the call may wait
   Time         arrived = 0;
 };
 
@@ -34,7 +31,7 @@
  public:
   virtual ~QueuePolicy() = default;
   virtual std::string_view Name() const = 0;
-  // The call of lowest rank runs next.
+  // The call with the lowest rank runs next.
   virtual double           Rank(const QueuedCall& call, Time now) const = 0;
 };
 
@@ -45,17 +42,17 @@
   double           Rank(const QueuedCall& call, Time now) const override;
 };
 
-// Class first, then the program that has had least service; waiting lowers the
-// rank steadily, so that nothing starves.
+// Orders by priority, then by least attained service of the program. Waiting
+// lowers the rank steadily, so that no call starves.
 class AttainedServiceQueue : public QueuePolicy {
  public:
   std::string_view Name() const override { return "attained"; }
   double           Rank(const QueuedCall& call, Time now) const override;
 };
 
-// Class first, then the program that started first; waiting lowers the rank
-// steadily, so that nothing starves. A program that has begun is finished
-// before later ones, whatever its graph turns out to be.
+// Orders by priority, then by start time of the program, so that started
+// programs finish before later ones. Waiting lowers the rank steadily, so that
+// no call starves.
 class OldestProgramQueue : public QueuePolicy {
  public:
   std::string_view Name() const override { return "oldest_program"; }
@@ -64,10 +61,10 @@
 
 struct RouteCandidate {
   bool     usable = true;           // alive and not leaving
-  Duration wait = 0;                // ms a new call would wait there
-  Tokens   cached = 0;              // tokens of its prompt likely cached there
-  Tokens   resident = 0;            // tokens of all prefixes leased there
-  bool     is_coordinator = false;  // the program's own server
+  Duration wait = 0;                // estimated wait of a new call, ms
+  Tokens   cached = 0;              // prompt tokens likely cached there
+  Tokens   resident = 0;            // tokens of all leased prefixes
+  bool     is_coordinator = false;  // the coordinator's own server
 };
 
 struct RouteRequest {
@@ -79,12 +76,12 @@
  public:
   virtual ~RoutePolicy() = default;
   virtual std::string_view Name() const = 0;
-  // Index of the chosen candidate, or -1 if none is usable.
+  // Index of the chosen candidate; -1 if none is usable.
   virtual int              Choose(const RouteRequest&                request,
                                   const std::vector<RouteCandidate>& candidates) const = 0;
 };
 
-// Shortest wait.
+// Chooses the shortest wait.
 class LeastLoadedRoute : public RoutePolicy {
  public:
   std::string_view Name() const override { return "least_loaded"; }
@@ -92,7 +89,7 @@
                           const std::vector<RouteCandidate>& candidates) const override;
 };
 
-// Always the program's own server while it is usable.
+// Prefers the coordinator's own server while it is usable.
 class StickyRoute : public RoutePolicy {
  public:
   std::string_view Name() const override { return "sticky"; }
@@ -100,14 +97,15 @@
                           const std::vector<RouteCandidate>& candidates) const override;
 };
 
-// Wait there plus the time to compute what is not cached there, the latter
-// weighted up for customers who mind wasted cache.
+// Minimizes the wait plus the time to compute uncached prompt tokens, which
+// counts more at higher cache weights.
 class CacheAwareRoute : public RoutePolicy {
  public:
-  // `crowding`: ms that each 1000 resident tokens count; programs in a tool
-  // pause come back, and prefixes that do not fit are computed again.
-  // `reluctance`: ms by which another server must be better than the home's,
-  // since what is known of its load is old and others act on it too.
+  // `residency_cost`: ms added per 1000 resident tokens. Programs that pause
+  // for a tool call return, and prefixes that no longer fit must be recomputed.
+  // `switch_cost`: ms by which another server must be better than the
+  // coordinator's own, since load reports are old and other nodes act on them
+  // too.
   CacheAwareRoute(double prefill_tokens_per_ms, Duration switch_cost,
                   double residency_cost)
       : m_prefill_tokens_per_ms(prefill_tokens_per_ms),
--- a/src/yuccawick/core/types.h
+++ b/src/yuccawick/core/types.h
@@ -1,9 +1,9 @@
-// Identities and units used by every part of the core.
+// Identifiers and units used throughout the core.
 //
-// A node is one process on one VM: an entry or a server agent. A node that
-// restarts is a different node, told apart by its incarnation. Incarnations are
-// compared for equality only: they are minted without agreement, so they carry
-// no order. Order comes from log offsets, used as fencing numbers.
+// A node is one process on one VM: an entry or a server agent. A restarted
+// process is a different node with a different incarnation. Incarnations are
+// compared for equality only; order comes from log offsets, which serve as
+// fencing numbers.
 #pragma once
 
 #include <compare>
@@ -16,21 +16,21 @@
 
 using Time = std::int64_t;       // milliseconds since the Unix epoch
 using Duration = std::int64_t;   // milliseconds
-using Tokens = std::int64_t;     // engine tokens, the unit of every budget
+using Tokens = std::int64_t;     // engine tokens, the unit of all budgets
 using Offset = std::int64_t;     // position of a record in a log stream
 using Sequence = std::uint32_t;  // position of a call in its program, from 1
 
-constexpr Offset kNoOffset = -1;  // "before every record"
+constexpr Offset kNoOffset = -1;  // before the first record
 
-// Bytes of text counted as one token wherever the engine has not told better.
+// Bytes per token in estimates of texts that the engine has not counted.
 constexpr Tokens kBytesPerToken = 4;
 
-// Worst-case token count of a text, for reservations.
+// Estimated token count of a text, for reservations.
 Tokens EstimateTokens(std::string_view text);
 
 struct NodeRef {
   std::string   vm;               // platform name of the VM
-  std::uint64_t incarnation = 0;  // unique per process start; 0 means unknown
+  std::uint64_t incarnation = 0;  // unique per process start; 0: unknown
 
   auto operator<=>(const NodeRef&) const = default;
   template <class V>
@@ -40,10 +40,10 @@
   }
 };
 
-// Names a program and the node that minted it. The text form is the token that
-// callers hold; it leads any entry to the program's home.
+// Identifies a program and the node that created it. Its text form is the token
+// that callers hold; any entry can find the program's coordinator from it.
 struct ProgramId {
-  NodeRef       origin;      // the home that minted the id
+  NodeRef       origin;      // coordinator that created the id
   std::uint64_t number = 0;  // unique within the origin
 
   auto operator<=>(const ProgramId&) const = default;
@@ -57,8 +57,8 @@
 
 enum class ParseError { kBadProgramId };
 
-// True if a message addressed to `to` is for `self`. Incarnation 0 means
-// whichever runs on that VM.
+// True if a message addressed to `to` is for `self`. Incarnation 0 matches any
+// node on that VM.
 inline bool IsMeant(const NodeRef& to, const NodeRef& self) {
   return to == self || (to.vm == self.vm && to.incarnation == 0);
 }
@@ -67,7 +67,8 @@
 std::string                         ToString(const ProgramId& id);
 tl::expected<ProgramId, ParseError> ParseProgramId(std::string_view text);
 
-// True for names safe in ids, stream names and URLs: [a-z0-9-], 1 to 63 long.
+// True for names that are valid in ids, stream names and URLs: [a-z0-9-], 1 to
+// 63 characters.
 bool IsValidName(std::string_view name);
 
 enum class BackendKind : std::uint8_t { kModel, kService };
--- a/src/yuccawick/rpc/convert.cc
+++ b/src/yuccawick/rpc/convert.cc
@@ -17,7 +17,7 @@
 template <class T>
 constexpr bool kIsVector<std::vector<T>> = true;
 
-// Number of values of each enum that crosses the wire.
+// Number of values of each enum in messages and records.
 template <class E>
 constexpr unsigned kValueCount = 0;
 template <>
@@ -31,7 +31,7 @@
 template <>
 constexpr unsigned kValueCount<core::FencedState> = 4;
 
-// Copies a core struct into a Cap'n Proto one.
+// Copies a core struct into a Cap'n Proto struct.
 class Writer {
  public:
   explicit Writer(capnp::DynamicStruct::Builder builder) : m_builder(builder) {}
@@ -61,7 +61,7 @@
   capnp::DynamicStruct::Builder m_builder;
 };
 
-// Copies a Cap'n Proto struct into a core one.
+// Copies a Cap'n Proto struct into a core struct.
 class Reader {
  public:
   explicit Reader(capnp::DynamicStruct::Reader reader) : m_reader(reader) {}
@@ -75,7 +75,7 @@
     } else if constexpr (std::is_enum_v<T>) {
       static_assert(kValueCount<T> > 0, "add the enum to kValueCount");
       const auto number = field.as<std::uint16_t>();
-      // Name tables are indexed by these: one out of range must not get in.
+      // Values index name tables, so reject those out of range.
       if (number >= kValueCount<T>)
         kj::throwFatalException(
             KJ_EXCEPTION(FAILED, "no such value", name, number));
@@ -99,7 +99,7 @@
   capnp::DynamicStruct::Reader m_reader;
 };
 
-// Unions: the n-th field stands for the n-th alternative.
+// In unions, field n corresponds to variant alternative n.
 template <class Variant>
 void WriteUnion(const Variant& value, capnp::DynamicStruct::Builder builder) {
   const auto field =
@@ -168,8 +168,8 @@
 tl::expected<Envelope, CodecError> Read(wire::Envelope::Reader reader) {
   Envelope   envelope;
   bool       read = false;
-  // Bytes from the network may be anything: what does not decode is an error
-  // value here, not an exception in the control thread.
+  // Input from the network is untrusted: decoding errors are returned as a
+  // value, so that no exception reaches the control thread.
   const auto failed = kj::runCatchingExceptions([&] {
     Reader from(capnp::toDynamic(reader.getFrom()));
     envelope.from.Visit(from);
@@ -202,8 +202,8 @@
     codec.decodeRaw(kj::ArrayPtr<const char>(json.data(), json.size()), raw);
     capnp::MallocMessageBuilder message;
     auto                        builder = message.initRoot<wire::Record>();
-    // Of an object without a known kind the codec would make an empty record of
-    // the first kind, and readers would fold it in.
+    // For an object without a known kind the codec would create an empty record
+    // of the first kind, which readers would apply.
     if (!NamesOneKind(raw.asReader(), capnp::toDynamic(builder.asReader())))
       return;
     codec.decode(raw.asReader(), builder);
--- a/src/yuccawick/rpc/convert.h
+++ b/src/yuccawick/rpc/convert.h
@@ -1,8 +1,8 @@
-// Core structs to Cap'n Proto and to the JSON of the log, and back.
+// Converts core structs to and from Cap'n Proto and the JSON of the log.
 //
-// Fields are copied by name through the structs' own Visit(), so that each is
-// listed in two places only: its struct and node.capnp. A name that one side
-// lacks throws kj::Exception at the first conversion; tests convert every type.
+// Fields are copied by name through the structs' Visit(), so that each field is
+// declared only in its struct and in node.capnp. A name that is missing on one
+// side throws kj::Exception at the first conversion; tests convert every type.
 #pragma once
 
 #include <string>
@@ -25,7 +25,7 @@
 void Write(const Envelope& envelope, wire::Envelope::Builder builder);
 tl::expected<Envelope, CodecError> Read(wire::Envelope::Reader reader);
 
-// The record as one line of JSON.
+// Returns the record as one line of JSON.
 std::string                            ToJson(const core::Record& record);
 tl::expected<core::Record, CodecError> RecordFromJson(const std::string& json);
 
