--- a/bench/policy_run.cc
+++ b/bench/policy_run.cc
@@ -129,10 +129,12 @@
     for (std::size_t i = 0; i < m_servers.size(); ++i) {
       core::RouteCandidate candidate;
       candidate.usable = m_servers[i]->alive;
-      candidate.is_home = program.has_coordinator && program.coordinator == i;
+      candidate.is_coordinator =
+          program.has_coordinator && program.coordinator == i;
       // A coordinator knows its own load exactly, others' as last reported.
-      candidate.wait = candidate.is_home ? m_servers[i]->executor->LoadMs()
-                                         : m_servers[i]->known_load;
+      candidate.wait = candidate.is_coordinator
+                           ? m_servers[i]->executor->LoadMs()
+                           : m_servers[i]->known_load;
       candidate.resident = m_servers[i]->known_resident;
       const auto prefix = program.prefixes.find(i);
       if (prefix != program.prefixes.end()) candidate.cached = prefix->second;
--- a/src/yuccawick/core/agent.cc
+++ b/src/yuccawick/core/agent.cc
@@ -10,13 +10,6 @@
 
 namespace yuccawick::core {
 
-// Index
-//   Events       what the daemon tells
-//   Messages     what other nodes tell
-//   Membership   joining, replica, watching
-//   Ownership    claims, adoption
-//   Stopping     planned stop
-
 Agent::Agent(AgentSettings settings, Safeguards safeguards,
              const QueuePolicy& queue_policy, const RoutePolicy& route_policy)
     : m_settings(std::move(settings)),
@@ -31,14 +24,16 @@
                [this](const std::string& customer) {
                  m_funding_changed.insert(customer);
                }),
-      m_durability(m_self, m_settings.durability, m_control, m_outbox,
-                   [this](Ticket ticket) { m_held.push_back(ticket); }),
+      m_durability(
+          m_self, m_settings.durability, m_control, m_outbox,
+          [this](Ticket ticket) { m_durable_tickets.push_back(ticket); }),
       m_backups(m_control, m_outbox),
       m_executor(m_self, m_settings.executor, safeguards, queue_policy,
                  m_outbox),
-      m_home(m_self, m_settings.join.target, m_settings.home, safeguards,
-             {m_control, m_membership, m_budget, m_durability, m_executor,
-              route_policy, m_outbox}) {}
+      m_coordinator(m_self, m_settings.join.target, m_settings.coordinator,
+                    safeguards,
+                    {m_control, m_membership, m_budget, m_durability,
+                     m_executor, route_policy, m_outbox}) {}
 
 std::vector<Command> Agent::Handle(Time now, const Event& event) {
   if (m_stopped) return {};
@@ -46,16 +41,17 @@
   return TakeCommands(now);
 }
 
-// Carries out what the agent tells itself (its home and its executor are two
-// parts of one node) and returns the rest.
+// Delivers messages that the agent sends to itself, since coordinator and
+// executor are parts of one node, and returns the other commands.
 std::vector<Command> Agent::TakeCommands(Time now) {
   std::vector<Command> out;
   while (true) {
     RetryFunding(now);
-    for (const Ticket ticket : std::exchange(m_held, {}))
-      m_home.OnHeld(ticket, now);
+    for (const Ticket ticket : std::exchange(m_durable_tickets, {}))
+      m_coordinator.OnDurable(ticket, now);
     auto commands = m_outbox.Take();
-    if (commands.empty() && m_funding_changed.empty() && m_held.empty())
+    if (commands.empty() && m_funding_changed.empty() &&
+        m_durable_tickets.empty())
       return out;
     for (auto& command : commands) {
       auto* send = std::get_if<SendMessage>(&command);
@@ -70,7 +66,7 @@
 
 void Agent::RetryFunding(Time now) {
   for (const auto& customer : std::exchange(m_funding_changed, {}))
-    m_home.OnFunding(customer, now);
+    m_coordinator.OnFunding(customer, now);
 }
 
 // ---- Events
@@ -83,37 +79,39 @@
   if (m_durability.WantsControlRead())
     m_durability.OnControlReadStarted(m_tail.ReadNow(now));
   m_executor.OnTick(now);
-  m_home.OnTick(now);
-  KeepJoined(now);
-  KeepReplicas(now);
+  m_coordinator.OnTick(now);
+  EnsureJoined(now);
+  EnsureReplicas(now);
   if (now >= m_next_scan) Scan(now);
-  if (m_tail.LogIsDown() || !m_tail.HasState()) {
+  if (m_tail.IsLogUnavailable() || !m_tail.HasState()) {
     const NodeRef* ahead = m_membership.PeerAhead();
-    if (ahead != nullptr) m_tail.AskPeer(*ahead);
+    if (ahead != nullptr) m_tail.RequestSnapshot(*ahead);
   }
   if (m_draining) Drain(now);
 }
 
-// What looks at every member and every backed-up program; too much for each
-// tick at 600 members, and nothing that a quarter of a second matters to.
+// Work that visits every member and every backed-up program; too expensive for
+// each tick in a large group.
 void Agent::Scan(Time now) {
   m_next_scan = now + m_settings.scan_interval;
   for (const auto& [node, peer] : m_membership.peers()) {
-    if (m_membership.IsSuspect(node)) m_home.OnPeerLost(node, now);
+    if (m_membership.IsSuspect(node))
+      m_coordinator.OnPeerUnreachable(node, now);
   }
   m_backups.Forget(m_self, now);
-  ClaimLostHomes(now);
+  ClaimDeadPeers(now);
 }
 
 void Agent::On(const MessageReceived& event, Time now) {
-  // A message for an earlier incarnation must not be taken for ours: its
-  // numbers mean something else here.
-  const bool  ours = IsMeant(event.to, m_self);
+  // Messages to an earlier incarnation are dropped, since their numbers have
+  // another meaning here.
+  const bool  addressed_here = IsMeant(event.to, m_self);
   const auto* dispatch = std::get_if<Dispatch>(&event.message);
   const auto* fence = std::get_if<FenceCall>(&event.message);
-  // These two say themselves whom they mean, and want a typed answer.
-  const bool  answers_anyway = dispatch != nullptr || fence != nullptr;
-  if (!ours && !answers_anyway && m_safeguards.Has(Safeguard::kReplyMatch)) {
+  // These two name their recipient and need a typed reply.
+  const bool  names_recipient = dispatch != nullptr || fence != nullptr;
+  if (!addressed_here && !names_recipient &&
+      m_safeguards.Has(Safeguard::kReplyMatch)) {
     m_outbox.Push(Count{Counter::kStaleMessages, "other_incarnation", 1});
     return;
   }
@@ -127,8 +125,8 @@
   m_membership.OnSendFailed(event.to, now);
   const auto* order =
       event.unsent ? std::get_if<Dispatch>(&*event.unsent) : nullptr;
-  if (order != nullptr) return m_home.OnUnsent(*order, now);
-  m_home.OnPeerLost(event.to, now);
+  if (order != nullptr) return m_coordinator.OnUnsent(*order, now);
+  m_coordinator.OnPeerUnreachable(event.to, now);
 }
 
 void Agent::On(const AppendDone& event, Time now) {
@@ -163,7 +161,7 @@
 void Agent::On(const StopRequested& /*event*/, Time now) {
   if (m_draining) return;
   m_draining = true;
-  m_home.StartDraining();
+  m_coordinator.StartDraining();
   m_executor.StartDraining();
   LogLine line;
   line.event = LogEvent::kLeaving;
@@ -178,19 +176,19 @@
       [&](const auto& m) {
         using M = std::decay_t<decltype(m)>;
         if constexpr (std::is_same_v<M, StartProgram>) {
-          m_home.OnStart(from, m, now);
+          m_coordinator.OnStart(from, m, now);
         } else if constexpr (std::is_same_v<M, CallRequest>) {
-          m_home.OnCall(from, m, now);
+          m_coordinator.OnCall(from, m, now);
         } else if constexpr (std::is_same_v<M, ProgramQuery>) {
-          m_home.OnQuery(from, m, now);
+          m_coordinator.OnQuery(from, m, now);
         } else if constexpr (std::is_same_v<M, CancelRequest>) {
-          m_home.OnCancel(from, m, now);
+          m_coordinator.OnCancel(from, m, now);
         } else if constexpr (std::is_same_v<M, Dispatch>) {
           m_executor.OnDispatch(from, m, now);
         } else if constexpr (std::is_same_v<M, DispatchChunk>) {
-          m_home.OnDispatchChunk(from, m);
+          m_coordinator.OnDispatchChunk(from, m);
         } else if constexpr (std::is_same_v<M, DispatchReply>) {
-          m_home.OnDispatchReply(from, m, now);
+          m_coordinator.OnDispatchReply(from, m, now);
         } else if constexpr (std::is_same_v<M, CancelDispatch>) {
           m_executor.OnCancel(from, m, now);
         } else if constexpr (std::is_same_v<M, ReleaseCache>) {
@@ -202,7 +200,7 @@
         } else if constexpr (std::is_same_v<M, FenceCall>) {
           m_executor.OnFence(from, m, now);
         } else if constexpr (std::is_same_v<M, FenceReply>) {
-          m_home.OnFenceReply(from, m, now);
+          m_coordinator.OnFenceReply(from, m, now);
         } else if constexpr (std::is_same_v<M, Probe>) {
           OnProbe(from, m, now);
         } else if constexpr (std::is_same_v<M, ProbeReply>) {
@@ -223,8 +221,8 @@
   reply.load_ms = static_cast<std::uint64_t>(m_executor.LoadMs());
   reply.resident = m_executor.ResidentTokens();
   m_outbox.Send(from, reply);
-  if (probe.control_version > m_control.version() && m_tail.LogIsDown())
-    m_tail.AskPeer(from);
+  if (probe.control_version > m_control.version() && m_tail.IsLogUnavailable())
+    m_tail.RequestSnapshot(from);
   (void)now;
 }
 
@@ -249,12 +247,12 @@
   }
   AdoptClaimed(now);
   WatchDependencies(now);
-  // An operator's drain reaches the agent as a record, like everybody else.
+  // An operator requests a drain by appending a leave record.
   if (self != nullptr && self->leaving) On(StopRequested{}, now);
   const bool superseded = self != nullptr && self->IsClaimed() && !m_draining;
   if (!superseded) return;
-  // Another node owns our programs. Whatever we still hold is out of date, so
-  // this incarnation ends; the platform starts the next one.
+  // Another node owns the programs, so the state here is out of date. This
+  // incarnation stops and the platform starts the next one.
   LogLine line;
   line.severity = Severity::kWarning;
   line.event = LogEvent::kSuperseded;
@@ -284,20 +282,20 @@
   return true;
 }
 
-void Agent::KeepJoined(Time now) {
+void Agent::EnsureJoined(Time now) {
   if (m_executor.IsJoined() || m_tail.phase() != ConfigPhase::kCurrent) return;
   if (m_draining || !MayRetry(&m_joined_at, now)) return;
   m_outbox.Append(std::string(kControlStream), {m_settings.join});
   m_tail.ReadNow(now);
 }
 
-// Those that are replicas already and well, filled up with the members that
-// back up fewest homes; each in a zone of its own as far as there are zones.
+// Keeps usable current replicas and fills up with the members that back up the
+// fewest coordinators, each in its own zone if there are enough zones.
 std::vector<NodeRef> Agent::ChooseReplicas() const {
-  std::map<NodeRef, int> homes_backed;
+  std::map<NodeRef, int> coordinators_backed;
   for (const auto& [node, member] : m_control.members()) {
     if (member.IsClaimed()) continue;
-    for (const auto& replica : member.replicas) ++homes_backed[replica];
+    for (const auto& replica : member.replicas) ++coordinators_backed[replica];
   }
   std::vector<NodeRef>  chosen;
   std::set<std::string> zones{m_settings.join.zone};
@@ -312,7 +310,7 @@
   const auto cost = [&](const Member& m) {
     const bool other_model = m.join.target != m_settings.join.target;
     return std::tuple(zones.contains(m.join.zone), other_model,
-                      homes_backed[m.join.node],
+                      coordinators_backed[m.join.node],
                       PairHash(m_self.vm, m.join.node.vm));
   };
   while (chosen.size() < m_settings.replicas) {
@@ -330,13 +328,13 @@
 }
 
 bool Agent::MayBeReplica(const Member& member) const {
-  // A replica in the home's own zone would go with it.
+  // A replica in the coordinator's zone would fail together with it.
   return member.join.kind == BackendKind::kModel &&
          member.join.zone != m_settings.join.zone && !member.leaving &&
          m_membership.IsUsable(member.join.node);
 }
 
-void Agent::KeepReplicas(Time now) {
+void Agent::EnsureReplicas(Time now) {
   if (m_settings.join.kind != BackendKind::kModel) return;
   if (!m_executor.IsJoined() || m_draining) return;
   const auto usable = [this](const std::vector<NodeRef>& nodes) {
@@ -347,17 +345,16 @@
   if (!usable(m_durability.Candidates())) m_durability.DropCandidates();
   if (m_durability.Candidates().empty()) {
     const auto replicas = m_durability.Replicas();
-    const bool fine =
+    const bool sufficient =
         replicas.size() >= m_settings.replicas && usable(replicas);
-    if (fine) return;
+    if (sufficient) return;
     const auto chosen = ChooseReplicas();
     if (chosen.empty() || chosen == replicas) return;
-    m_durability.StartCandidates(chosen, m_home.Everything(), now);
+    m_durability.StartCandidates(chosen, m_coordinator.AllPrograms(), now);
     m_assigned_at = 0;
     return;
   }
-  // Assigned only when they have everything: from then on they alone may take
-  // over.
+  // Assigned only when up to date: from then on only these nodes may claim.
   if (!m_durability.AreCandidatesReady() || !MayRetry(&m_assigned_at, now))
     return;
   m_outbox.Append(std::string(kControlStream),
@@ -395,14 +392,14 @@
   return first && first->second == m_self;
 }
 
-void Agent::ClaimLostHomes(Time now) {
+void Agent::ClaimDeadPeers(Time now) {
   if (m_settings.join.kind != BackendKind::kModel || m_draining) return;
   if (!m_executor.IsJoined()) return;
   for (const auto& [node, member] : m_control.members()) {
-    const bool lost = member.join.kind == BackendKind::kModel &&
+    const bool dead = member.join.kind == BackendKind::kModel &&
                       !member.IsClaimed() && node != m_self &&
-                      m_membership.IsLost(node, now);
-    if (!lost || !m_control.MayClaim(node, m_self)) continue;
+                      m_membership.IsPresumedDead(node, now);
+    if (!dead || !m_control.MayClaim(node, m_self)) continue;
     if (IsFirstToClaim(node)) AppendClaim(node, m_self, now);
   }
 }
@@ -423,7 +420,7 @@
   for (const auto& [node, member] : m_control.members()) {
     if (member.adopter != m_self || m_adopted.contains(node)) continue;
     m_adopted.insert(node);
-    m_home.Adopt(node, member.claimed, m_backups.Take(node), now);
+    m_coordinator.Adopt(node, member.claimed, m_backups.Take(node), now);
     LogLine line;
     line.severity = Severity::kWarning;
     line.event = LogEvent::kAdopted;
@@ -440,27 +437,27 @@
 void Agent::OnHistoryRead(const ReadDone& done, Time now) {
   const NodeRef target = m_history_reads.at(done.read);
   m_history_reads.erase(done.read);
-  // Without the log's part an answer already given could be missing: ask again
-  // until it answers; meanwhile callers' requests wait.
+  // Without the history an acknowledged answer could be missing, so the read is
+  // repeated until it succeeds. Requests of callers wait meanwhile.
   if (done.status != LogStatus::kOk) return ReadHistory(target, 0);
   Offset next = done.end;
   for (const auto& logged : done.records) {
     next = logged.offset + 1;
     const auto* history = std::get_if<HistoryRecord>(&logged.record);
-    if (history != nullptr) m_home.OnHistory(target, *history, now);
+    if (history != nullptr) m_coordinator.OnHistory(target, *history, now);
   }
   if (next < done.end) return ReadHistory(target, next);
-  m_home.OnHistoryComplete(target, now);
+  m_coordinator.OnHistoryComplete(target, now);
 }
 
 // ---- Stopping
 
-// The first replica that is well, or else the first.
-NodeRef Agent::HeirOf(const std::vector<NodeRef>& replicas) const {
-  const auto well =
+// The first usable replica, or else the first one.
+NodeRef Agent::ChooseSuccessor(const std::vector<NodeRef>& replicas) const {
+  const auto usable_replica =
       std::find_if(replicas.begin(), replicas.end(),
                    [this](const auto& n) { return m_membership.IsUsable(n); });
-  return well == replicas.end() ? replicas.front() : *well;
+  return usable_replica == replicas.end() ? replicas.front() : *usable_replica;
 }
 
 void Agent::Drain(Time now) {
@@ -469,23 +466,23 @@
     m_outbox.Append(std::string(kControlStream), {LeaveRecord{m_self}});
     m_tail.ReadNow(now);
   }
-  const bool busy = m_home.InFlight() > 0 || !m_executor.IsIdle();
+  const bool busy = m_coordinator.InFlight() > 0 || !m_executor.IsIdle();
   if (busy && m_safeguards.Has(Safeguard::kDrainInFlight)) return;
   m_durability.FlushNow(now);
   if (!m_durability.IsQuiet()) return;
-  m_budget.ReturnAll(now);
+  m_budget.ReleaseAllUnused(now);
   if (!m_budget.IsQuiet()) return;
-  const bool hands_over =
+  const bool transfers =
       self != nullptr && !self->IsClaimed() && !m_durability.Replicas().empty();
-  if (hands_over)
-    return AppendClaim(m_self, HeirOf(m_durability.Replicas()), now);
-  const bool told = self == nullptr || self->leaving || self->IsClaimed();
-  if (!told) return;
-  // Others read of the leave some time later. Until then their orders are
-  // refused as not run; sent to a stopped process, nobody could say that.
-  const bool waits = self != nullptr && m_left_at != 0 &&
-                     now - m_left_at < m_settings.leave_grace;
-  if (waits && m_safeguards.Has(Safeguard::kDrainInFlight)) return;
+  if (transfers)
+    return AppendClaim(m_self, ChooseSuccessor(m_durability.Replicas()), now);
+  const bool announced = self == nullptr || self->leaving || self->IsClaimed();
+  if (!announced) return;
+  // Other nodes see the leave record later. Until then their orders are refused
+  // as not run; for a stopped process the outcome would be unknown.
+  const bool in_grace_period = self != nullptr && m_left_at != 0 &&
+                               now - m_left_at < m_settings.leave_grace;
+  if (in_grace_period && m_safeguards.Has(Safeguard::kDrainInFlight)) return;
   m_executor.ReleaseAll();
   LogLine line;
   line.event = LogEvent::kStopped;
--- a/src/yuccawick/core/control.cc
+++ b/src/yuccawick/core/control.cc
@@ -5,10 +5,10 @@
 namespace yuccawick::core {
 namespace {
 
-// Claimed members are kept this many control records, so that tokens minted by
-// them still lead to their programs. At 500 records a day that is 16 days.
-constexpr Offset kKeepClaimed = 8192;
-// A chain of claims longer than this is a fold gone wrong.
+// Control records for which a claimed member is kept, so that program ids
+// created by it still lead to the current owner.
+constexpr Offset kClaimedRetention = 8192;
+// Limit of a chain of claims; guards against a cycle in a corrupt state.
 constexpr int    kMaxClaimChain = 64;
 
 }  // namespace
@@ -24,8 +24,8 @@
 }
 
 Effect Control::Apply(const LoggedRecord& logged) {
-  // A late or repeated read may bring records from below; taking one would
-  // bring back a contract that has been amended since.
+  // A late or repeated read may return older records; applying one could
+  // restore a contract that has been amended since.
   const bool newer_only = m_safeguards.Has(Safeguard::kNewerControlOnly);
   if (newer_only && logged.offset <= m_version) return Effect::kOld;
   const Effect effect = std::visit(
@@ -78,14 +78,14 @@
   return it == m_newest_on_vm.end() ? nullptr : FindMember(it->second);
 }
 
-Control::Home Control::Resolve(const NodeRef& origin) const {
-  Home home{origin, kNoOffset};
+Control::Coordinator Control::Resolve(const NodeRef& origin) const {
+  Coordinator coordinator{origin, kNoOffset};
   for (int i = 0; i < kMaxClaimChain; ++i) {
-    const Member* member = FindMember(home.node);
+    const Member* member = FindMember(coordinator.node);
     if (member == nullptr || !member->IsClaimed()) break;
-    home = {member->adopter, member->claimed};
+    coordinator = {member->adopter, member->claimed};
   }
-  return home;
+  return coordinator;
 }
 
 bool Control::MayClaim(const NodeRef& target, const NodeRef& adopter) const {
@@ -95,8 +95,8 @@
   if (by == nullptr || by->IsClaimed() || target == adopter) return false;
   if (member->HasReplica(adopter)) return true;
   if (!m_safeguards.Has(Safeguard::kReplicaClaimsOnly)) return true;
-  // Whoever is not a replica may miss answers already acknowledged. Only when
-  // all replicas have been taken over is the log the best copy left.
+  // A node that is not a replica may miss acknowledged answers. Only when all
+  // replicas have been claimed is the log the best remaining copy.
   return std::all_of(member->replicas.begin(), member->replicas.end(),
                      [this](const NodeRef& node) {
                        const Member* replica = FindMember(node);
@@ -106,8 +106,8 @@
 
 Effect Control::Fold(Offset offset, const JoinRecord& record) {
   if (FindMember(record.node) != nullptr) return Effect::kVoid;
-  // An application server's agent owns no programs, so nobody ever claims it:
-  // its record goes when the next one joins on that VM.
+  // Agents of application servers own no programs and are never claimed, so the
+  // record is dropped when the next agent joins on that VM.
   const Member* older = FindVm(record.node.vm);
   if (older != nullptr && older->join.kind == BackendKind::kService)
     m_members.erase(NodeRef(older->join.node));
@@ -121,13 +121,14 @@
 }
 
 Effect Control::Fold(Offset /*offset*/, const ReplicaRecord& record) {
-  const auto home = m_members.find(record.home);
-  if (home == m_members.end() || home->second.IsClaimed()) return Effect::kVoid;
+  const auto coordinator = m_members.find(record.coordinator);
+  if (coordinator == m_members.end() || coordinator->second.IsClaimed())
+    return Effect::kVoid;
   for (const auto& node : record.replicas) {
     const Member* replica = FindMember(node);
     if (replica == nullptr || replica->IsClaimed()) return Effect::kVoid;
   }
-  home->second.replicas = record.replicas;
+  coordinator->second.replicas = record.replicas;
   return Effect::kApplied;
 }
 
@@ -149,8 +150,8 @@
 Effect Control::Fold(Offset offset, const ContractRecord& record) {
   const ContractInForce* current = FindContract(record.contract.customer);
   const Offset in_force = current == nullptr ? kNoOffset : current->version;
-  // Two operators amending one version at once: the first in log order wins,
-  // the other reads back that its record is void and is told of a conflict.
+  // If two operators amend one version, the first in log order wins; the other
+  // reads back that its record is void and reports a conflict.
   const bool   checked = m_safeguards.Has(Safeguard::kAmendsVersion);
   if (checked && record.amends != in_force) return Effect::kVoid;
   if (!Validate(record.contract).empty()) return Effect::kVoid;
@@ -175,7 +176,7 @@
   const Offset now = m_version + 1;
   std::erase_if(m_members, [now](const auto& entry) {
     const Member& member = entry.second;
-    return member.IsClaimed() && member.claimed + kKeepClaimed < now;
+    return member.IsClaimed() && member.claimed + kClaimedRetention < now;
   });
 }
 
--- a/src/yuccawick/core/home.cc
+++ b/src/yuccawick/core/coordinator.cc
@@ -1,4 +1,4 @@
-#include "yuccawick/core/home.h"
+#include "yuccawick/core/coordinator.h"
 
 #include <algorithm>
 #include <cassert>
@@ -8,35 +8,32 @@
 
 namespace yuccawick::core {
 
-// Index
-//   Starting     programs and sub-agents
-//   Ending       by the caller, by idleness
-//   Shared       helpers of all parts
-//
-// home_calls.cc has the calls, home_recovery.cc what follows a claim.
+// Calls are in coordinator_calls.cc, recovery after a claim in
+// coordinator_recovery.cc.
 
-Home::Home(NodeRef self, std::string model, HomeSettings settings,
-           Safeguards safeguards, Parts parts)
+Coordinator::Coordinator(NodeRef self, std::string model,
+                         CoordinatorSettings settings, Safeguards safeguards,
+                         Dependencies parts)
     : m_self(std::move(self)),
       m_model(std::move(model)),
       m_settings(settings),
       m_safeguards(safeguards),
-      m_parts(parts) {}
+      m_deps(parts) {}
 
 // ---- Starting
 
-tl::expected<void, Failure> Home::CheckStart(const StartProgram& start) const {
+tl::expected<void, Failure> Coordinator::CheckStart(
+    const StartProgram& start) const {
   if (m_draining) return tl::make_unexpected(Refuse(Reason::kDraining));
-  const ContractInForce* contract =
-      m_parts.control.FindContract(start.customer);
+  const ContractInForce* contract = m_deps.control.FindContract(start.customer);
   if (contract == nullptr)
     return tl::make_unexpected(Refuse(Reason::kNoContract));
   if (FindClass(contract->contract, start.service_class) == nullptr)
     return tl::make_unexpected(Refuse(Reason::kUnknownClass));
-  // A sub-agent lives with its parent, whatever model it uses.
+  // A sub-agent is owned by its parent's coordinator, whatever its model.
   if (start.model != m_model && !start.parent.IsSet())
     return tl::make_unexpected(Refuse(Reason::kUnknownBackend));
-  if (!m_parts.executor.IsJoined())
+  if (!m_deps.executor.IsJoined())
     return tl::make_unexpected(Refuse(Reason::kNotReady));
   if (!start.parent.IsSet()) return {};
   const auto parent = m_programs.find(start.parent);
@@ -49,41 +46,44 @@
   return {};
 }
 
-void Home::OnStart(const NodeRef& from, const StartProgram& start, Time now) {
+void Coordinator::OnStart(const NodeRef& from, const StartProgram& start,
+                          Time now) {
   const Caller caller{from, start.request};
-  // A start that comes again must not leave a second program behind.
-  if (const auto minted = m_minted_for.find(caller);
-      minted != m_minted_for.end())
-    return RepeatStart(caller, minted->second);
-  const auto known = [&](const Start& other) { return other.caller == caller; };
+  // A repeated start must not create a second program.
+  if (const auto existing = m_program_by_start.find(caller);
+      existing != m_program_by_start.end())
+    return RepeatStart(caller, existing->second);
+  const auto known = [&](const PendingStart& other) {
+    return other.caller == caller;
+  };
   if (std::any_of(m_starts.begin(), m_starts.end(), known)) return;
   if (auto ok = CheckStart(start); !ok)
     return ReplyStart(caller, tl::make_unexpected(ok.error()));
   TryStart({caller, start, now}, now);
 }
 
-void Home::RepeatStart(const Caller& caller, const ProgramId& id) {
+void Coordinator::RepeatStart(const Caller& caller, const ProgramId& id) {
   const auto waits = [&](const auto& entry) { return entry.second == id; };
   if (std::any_of(m_started_as.begin(), m_started_as.end(), waits)) return;
   ReplyStart(caller, id);
 }
 
-void Home::TryStart(const Start& start, Time now) {
-  // Sub-agents share their parent's slot; a slot of their own could leave every
-  // parent waiting for a child that gets none.
-  if (start.start.parent.IsSet()) return Mint(start, false, now);
+void Coordinator::TryStart(const PendingStart& start, Time now) {
+  // Sub-agents share their parent's slot. With slots of their own, all parents
+  // could wait for sub-agents that get none.
+  if (start.start.parent.IsSet()) return CreateProgram(start, false, now);
   const Funding funding =
-      m_parts.budget.Reserve(start.start.customer, Resource::kPrograms, 1, now);
+      m_deps.budget.Reserve(start.start.customer, Resource::kPrograms, 1, now);
   switch (funding) {
     case Funding::kFunded:
-      return Mint(start, true, now);
+      return CreateProgram(start, true, now);
     case Funding::kWaiting:
       if (now - start.since < m_settings.funding_timeout) {
         m_starts.push_back(start);
         return;
       }
       [[fallthrough]];
-    case Funding::kLogDown:
+    case Funding::kLogUnavailable:
       return ReplyStart(start.caller,
                         tl::make_unexpected(Refuse(Reason::kLogUnavailable)));
     case Funding::kRefused:
@@ -92,8 +92,9 @@
   }
 }
 
-void Home::Mint(const Start& start, bool holds_slot, Time now) {
-  const ProgramId id{m_self, ++m_minted};
+void Coordinator::CreateProgram(const PendingStart& start, bool owns_slot,
+                                Time now) {
+  const ProgramId id{m_self, ++m_last_number};
   Program&        program = m_programs[id];
   ProgramMeta&    meta = program.state.meta;
   meta.id = id;
@@ -104,16 +105,16 @@
   meta.parent = start.start.parent;
   meta.started = now;
   meta.last_active = now;
-  program.holds_slot = holds_slot;
-  m_parts.outbox.Push(Count{Counter::kPrograms, "started", 1});
+  program.owns_slot = owns_slot;
+  m_deps.outbox.Push(Count{Counter::kPrograms, "started", 1});
   Log(LogEvent::kProgramStarted, program, 0, "");
-  const Ticket ticket = HoldMeta(&program, now);
+  const Ticket ticket = MakeMetaDurable(&program, now);
   m_started[ticket] = {start.caller, start.start, now};
   m_started_as[ticket] = id;
-  m_minted_for[start.caller] = id;
+  m_program_by_start[start.caller] = id;
 }
 
-void Home::RetryStarts(const std::string& customer, Time now) {
+void Coordinator::RetryStarts(const std::string& customer, Time now) {
   for (const auto& start : std::exchange(m_starts, {})) {
     if (start.start.customer == customer) {
       TryStart(start, now);
@@ -125,7 +126,8 @@
 
 // ---- Ending
 
-void Home::OnQuery(const NodeRef& from, const ProgramQuery& query, Time now) {
+void Coordinator::OnQuery(const NodeRef& from, const ProgramQuery& query,
+                          Time now) {
   const Caller caller{from, query.request};
   const auto   found = FindFor(query.program, query.customer, query.workspace);
   if (!found) return ReplyQuery(caller, tl::make_unexpected(found.error()));
@@ -133,90 +135,90 @@
   if (program->phase == ProgramPhase::kRecovering)
     return ReplyQuery(caller, tl::make_unexpected(Refuse(Reason::kNotReady)));
   if (!query.end || program->state.meta.ended)
-    return ReplyQuery(caller, program->state.Whole());
+    return ReplyQuery(caller, program->state.ToDelta());
   if (program->active || !program->waiting.empty())
     return ReplyQuery(caller, tl::make_unexpected(Refuse(Reason::kNotReady)));
   Finish(program, now);
-  const Ticket ticket = HoldMeta(program, now);
+  const Ticket ticket = MakeMetaDurable(program, now);
   m_ending[ticket] = {caller, query.program};
 }
 
-// Ends the program and its sub-agents. None has a call under way.
-void Home::Finish(Program* program, Time now) {
+// Ends the program and its sub-agents. None has a call in progress.
+void Coordinator::Finish(Program* program, Time now) {
   if (program->state.meta.ended) return;
   const ProgramId id = program->state.meta.id;
   program->state.meta.ended = true;
   program->state.meta.last_active = now;
   Fire(program, ProgramEvent::kEnd);
   ReleasePrefixes(program);
-  if (program->holds_slot) {
-    program->holds_slot = false;
-    m_parts.budget.Release(program->state.meta.customer, Resource::kPrograms, 1,
-                           now);
+  if (program->owns_slot) {
+    program->owns_slot = false;
+    m_deps.budget.Release(program->state.meta.customer, Resource::kPrograms, 1,
+                          now);
   }
-  m_parts.outbox.Push(Count{Counter::kPrograms, "ended", 1});
+  m_deps.outbox.Push(Count{Counter::kPrograms, "ended", 1});
   Log(LogEvent::kProgramEnded, *program, 0, "");
   for (auto& [child_id, child] : m_programs) {
     const bool ends =
         child.state.meta.parent == id && child.phase == ProgramPhase::kIdle;
     if (!ends || child.state.meta.ended) continue;
     Finish(&child, now);
-    HoldMeta(&child, now);
+    MakeMetaDurable(&child, now);
   }
 }
 
-void Home::ReleasePrefixes(Program* program) {
+void Coordinator::ReleasePrefixes(Program* program) {
   if (!m_safeguards.Has(Safeguard::kPrefixRelease)) return;
   for (const auto& [executor, tokens] : program->prefixes)
-    m_parts.outbox.Send(executor, ReleaseCache{program->state.meta.id});
+    m_deps.outbox.Send(executor, ReleaseCache{program->state.meta.id});
   program->prefixes.clear();
 }
 
-void Home::ExpireIdle(Time now) {
+void Coordinator::ExpireIdle(Time now) {
   std::vector<ProgramId> forgotten;
   for (auto& [id, program] : m_programs) {
     const ProgramMeta& meta = program.state.meta;
     const Duration     idle = now - meta.last_active;
     if (meta.ended) {
-      if (idle > m_settings.keep_ended) forgotten.push_back(id);
+      if (idle > m_settings.ended_retention) forgotten.push_back(id);
       continue;
     }
     const ContractInForce* contract =
-        m_parts.control.FindContract(meta.customer);
+        m_deps.control.FindContract(meta.customer);
     if (contract == nullptr || program.phase != ProgramPhase::kIdle) continue;
     if (!program.waiting.empty() || idle <= contract->contract.idle_timeout)
       continue;
-    // The caller has vanished, or its tool hangs: engine memory and slot must
-    // not stay held for it.
-    m_parts.outbox.Push(Count{Counter::kPrograms, "expired", 1});
+    // The caller is gone, or its tool hangs: release engine memory and slot.
+    m_deps.outbox.Push(Count{Counter::kPrograms, "expired", 1});
     Finish(&program, now);
-    HoldMeta(&program, now);
+    MakeMetaDurable(&program, now);
   }
   for (const auto& id : forgotten) m_programs.erase(id);
-  std::erase_if(m_minted_for, [this](const auto& entry) {
+  std::erase_if(m_program_by_start, [this](const auto& entry) {
     return !m_programs.contains(entry.second);
   });
 }
 
 // ---- Shared
 
-void Home::Fire(Program* program, ProgramEvent event) {
+void Coordinator::Fire(Program* program, ProgramEvent event) {
   const bool legal = GetProgramChart().Fire(&program->phase, event);
   assert(legal && "charts/program.chart has no such transition");
   (void)legal;
 }
 
-Ticket Home::HoldMeta(Program* program, Time now) {
+Ticket Coordinator::MakeMetaDurable(Program* program, Time now) {
   ++program->state.meta.revision;
-  return m_parts.durability.Hold({program->state.meta, {}}, now);
+  return m_deps.durability.MakeDurable({program->state.meta, {}}, now);
 }
 
-Ticket Home::HoldTurn(Program* program, const Turn& turn, Time now) {
+Ticket Coordinator::MakeTurnDurable(Program* program, const Turn& turn,
+                                    Time now) {
   ++program->state.meta.revision;
-  return m_parts.durability.Hold({program->state.meta, {turn}}, now);
+  return m_deps.durability.MakeDurable({program->state.meta, {turn}}, now);
 }
 
-Home::Program* Home::RootOf(Program* program) {
+Coordinator::Program* Coordinator::RootOf(Program* program) {
   while (program->state.meta.parent.IsSet()) {
     const auto it = m_programs.find(program->state.meta.parent);
     if (it == m_programs.end()) break;
@@ -225,7 +227,7 @@
   return program;
 }
 
-Tokens Home::WorstCase(const Program& program, const Call& call) const {
+Tokens Coordinator::WorstCase(const Program& program, const Call& call) const {
   if (call.kind != BackendKind::kModel) return 0;
   if (!m_safeguards.Has(Safeguard::kWorstCaseReserve)) return 1;
   const Tokens prompt =
@@ -233,8 +235,8 @@
   return prompt + call.max_tokens;
 }
 
-bool Home::HasBackend(const Call& call) const {
-  const auto& members = m_parts.control.members();
+bool Coordinator::HasBackend(const Call& call) const {
+  const auto& members = m_deps.control.members();
   return std::any_of(members.begin(), members.end(), [&](const auto& entry) {
     const JoinRecord& join = entry.second.join;
     return !entry.second.IsClaimed() && join.kind == call.kind &&
@@ -242,36 +244,37 @@
   });
 }
 
-NodeRef Home::Route(const Program& program, const Call& call) const {
+NodeRef Coordinator::Route(const Program& program, const Call& call) const {
   std::vector<NodeRef>        nodes;
   std::vector<RouteCandidate> candidates;
-  for (const auto& [node, member] : m_parts.control.members()) {
+  for (const auto& [node, member] : m_deps.control.members()) {
     if (member.join.kind != call.kind || member.join.target != call.target)
       continue;
     RouteCandidate candidate;
-    candidate.is_home = node == m_self;
-    const auto& peers = m_parts.membership.peers();
-    const bool  heard = candidate.is_home || peers.contains(node);
-    // An engine whose load is not known would look idle: leave it out, unless
-    // this home came to the program from another model and knows none of its.
-    const bool  own_model =
+    candidate.is_coordinator = node == m_self;
+    const auto& peers = m_deps.membership.peers();
+    const bool has_load_data = candidate.is_coordinator || peers.contains(node);
+    // An engine of unknown load would look idle, so it is skipped, unless this
+    // coordinator serves another model and knows the load of none.
+    const bool own_model =
         call.kind == BackendKind::kModel && call.target == m_model;
-    if (!heard && own_model) continue;
-    candidate.usable = candidate.is_home || m_parts.membership.IsUsable(node);
-    candidate.wait = candidate.is_home ? m_parts.executor.LoadMs()
-                                       : m_parts.membership.LoadOf(node);
-    candidate.resident = candidate.is_home
-                             ? m_parts.executor.ResidentTokens()
-                             : m_parts.membership.ResidentOf(node);
+    if (!has_load_data && own_model) continue;
+    candidate.usable =
+        candidate.is_coordinator || m_deps.membership.IsUsable(node);
+    candidate.wait = candidate.is_coordinator ? m_deps.executor.LoadMs()
+                                              : m_deps.membership.LoadOf(node);
+    candidate.resident = candidate.is_coordinator
+                             ? m_deps.executor.ResidentTokens()
+                             : m_deps.membership.ResidentOf(node);
     const auto prefix = program.prefixes.find(node);
     if (prefix != program.prefixes.end()) candidate.cached = prefix->second;
     nodes.push_back(node);
     candidates.push_back(candidate);
   }
   if (nodes.empty()) return {};
-  // Equal candidates are taken in an order of each program's own, or every home
-  // would choose the same server; but the home's own engine goes first, since
-  // the program's later calls will find their prefix there.
+  // Equal candidates are ordered differently for each program, or all
+  // coordinators would choose the same server. The coordinator's own engine
+  // comes first, since later calls will find their prefix there.
   const auto shift = static_cast<std::ptrdiff_t>(
       PairHash("route", ToString(program.state.meta.id)) % nodes.size());
   std::rotate(nodes.begin(), nodes.begin() + shift, nodes.end());
@@ -285,21 +288,22 @@
   RouteRequest request;
   request.prompt = EstimateTokens(program.state.Prompt());
   const ContractInForce* contract =
-      m_parts.control.FindContract(program.state.meta.customer);
+      m_deps.control.FindContract(program.state.meta.customer);
   if (contract != nullptr)
     request.cache_weight = contract->contract.cache_weight;
-  const int chosen = m_parts.routes.Choose(request, candidates);
+  const int chosen = m_deps.routes.Choose(request, candidates);
   return chosen < 0 ? NodeRef{} : nodes[static_cast<std::size_t>(chosen)];
 }
 
-void Home::ReplyAll(const std::vector<Caller>& callers,
-                    const Outcome&             outcome) {
+void Coordinator::ReplyAll(const std::vector<Caller>& callers,
+                           const Outcome&             outcome) {
   for (const auto& caller : callers) Reply(caller, outcome);
 }
 
 template <class R, class T>
-void Home::SendReply(const Caller&                   caller,
-                     const tl::expected<T, Failure>& result, T R::*value) {
+void Coordinator::SendReply(const Caller&                   caller,
+                            const tl::expected<T, Failure>& result,
+                            T R::*value) {
   R reply;
   reply.request = caller.request;
   reply.ok = result.has_value();
@@ -307,59 +311,59 @@
     reply.*value = *result;
   } else {
     reply.failure = result.error();
-    m_parts.outbox.Refused(result.error().reason);
+    m_deps.outbox.CountRefusal(result.error().reason);
   }
-  m_parts.outbox.Send(caller.entry, std::move(reply));
+  m_deps.outbox.Send(caller.entry, std::move(reply));
 }
 
-void Home::Reply(const Caller& caller, const Outcome& outcome) {
+void Coordinator::Reply(const Caller& caller, const Outcome& outcome) {
   SendReply(caller, outcome, &CallReply::answer);
 }
 
-void Home::ReplyStart(const Caller&                           caller,
-                      const tl::expected<ProgramId, Failure>& result) {
+void Coordinator::ReplyStart(const Caller&                           caller,
+                             const tl::expected<ProgramId, Failure>& result) {
   SendReply(caller, result, &StartReply::program);
 }
 
-void Home::ReplyQuery(const Caller&                              caller,
-                      const tl::expected<ProgramDelta, Failure>& result) {
+void Coordinator::ReplyQuery(
+    const Caller& caller, const tl::expected<ProgramDelta, Failure>& result) {
   SendReply(caller, result, &ProgramReply::program);
 }
 
-std::size_t Home::InFlight() const {
+std::size_t Coordinator::InFlight() const {
   std::size_t count = m_starts.size() + m_started.size() + m_ending.size();
   for (const auto& [id, program] : m_programs)
     count += program.waiting.size() + (program.active ? 1 : 0);
   return count;
 }
 
-std::vector<ProgramDelta> Home::Everything() const {
+std::vector<ProgramDelta> Coordinator::AllPrograms() const {
   std::vector<ProgramDelta> deltas;
   for (const auto& [id, program] : m_programs)
-    deltas.push_back(program.state.Whole());
+    deltas.push_back(program.state.ToDelta());
   return deltas;
 }
 
-const ProgramState* Home::Find(const ProgramId& id) const {
+const ProgramState* Coordinator::Find(const ProgramId& id) const {
   const auto it = m_programs.find(id);
   return it == m_programs.end() ? nullptr : &it->second.state;
 }
 
-std::optional<ProgramPhase> Home::PhaseOf(const ProgramId& id) const {
+std::optional<ProgramPhase> Coordinator::PhaseOf(const ProgramId& id) const {
   const auto it = m_programs.find(id);
   if (it == m_programs.end()) return std::nullopt;
   return it->second.phase;
 }
 
-void Home::Log(LogEvent event, const Program& program, Sequence call,
-               std::string_view reason) {
+void Coordinator::Log(LogEvent event, const Program& program, Sequence call,
+                      std::string_view reason) {
   LogLine line;
   line.event = event;
   line.customer = program.state.meta.customer;
   line.program = ToString(program.state.meta.id);
   line.call = call;
   line.reason = std::string(reason);
-  m_parts.outbox.Push(std::move(line));
+  m_deps.outbox.Push(std::move(line));
 }
 
 }  // namespace yuccawick::core
--- a/src/yuccawick/core/home_recovery.cc
+++ b/src/yuccawick/core/coordinator_recovery.cc
@@ -1,40 +1,39 @@
 #include <utility>
 
-#include "yuccawick/core/home.h"
+#include "yuccawick/core/coordinator.h"
 
 namespace yuccawick::core {
 
-// Programs taken over from another home.
-
-void Home::Adopt(const NodeRef& target, Offset fence,
-                 const std::vector<ProgramDelta>& deltas, Time now) {
+void Coordinator::Adopt(const NodeRef& target, Offset fence,
+                        const std::vector<ProgramDelta>& deltas, Time now) {
   for (const auto& delta : deltas) {
     Program& program = m_programs[delta.meta.id];
     program.state.Apply(delta);
     program.fence = fence;
     program.adopted_from = target;
-    program.holds_slot = !delta.meta.parent.IsSet() && !delta.meta.ended;
+    program.owns_slot = !delta.meta.parent.IsSet() && !delta.meta.ended;
     program.attained = delta.meta.spent;
     if (delta.meta.ended) {
       Fire(&program, ProgramEvent::kEnd);
       continue;
     }
-    // Others may have waited for the caller's next call; it starts afresh.
+    // The idle timeout starts again, since requests may have been delayed by
+    // the takeover.
     program.state.meta.last_active = now;
     Fire(&program, ProgramEvent::kAdopted);
-    m_parts.outbox.Push(Count{Counter::kPrograms, "adopted", 1});
+    m_deps.outbox.Push(Count{Counter::kPrograms, "adopted", 1});
   }
 }
 
-void Home::OnHistory(const NodeRef& target, const HistoryRecord& record,
-                     Time now) {
-  const auto owner = m_parts.control.Resolve(record.home);
-  if (owner.node != m_self || record.home == m_self) return;
+void Coordinator::OnHistory(const NodeRef& target, const HistoryRecord& record,
+                            Time now) {
+  const auto owner = m_deps.control.Resolve(record.coordinator);
+  if (owner.node != m_self || record.coordinator == m_self) return;
   for (const auto& delta : record.deltas) {
     const auto found = m_programs.find(delta.meta.id);
     if (found == m_programs.end()) {
-      // Of an earlier incarnation on that VM, perhaps; its recovery goes on
-      // when this read is complete, like the others'.
+      // The program may belong to an earlier incarnation on that VM; it is
+      // recovered with the others when this read is complete.
       Adopt(target, owner.fence, {delta}, now);
       continue;
     }
@@ -43,29 +42,29 @@
     program.state.Apply(delta);
     if (!program.state.meta.ended) continue;
     Fire(&program, ProgramEvent::kEnd);
-    program.holds_slot = false;
+    program.owns_slot = false;
   }
 }
 
-void Home::OnHistoryComplete(const NodeRef& target, Time now) {
+void Coordinator::OnHistoryComplete(const NodeRef& target, Time now) {
   for (auto& [id, program] : m_programs) {
     if (program.adopted_from != target) continue;
     program.adopted_from = {};
     program.state.meta.fence = program.fence;
-    m_parts.durability.Hold(program.state.Whole(), now);
+    m_deps.durability.MakeDurable(program.state.ToDelta(), now);
     if (program.phase == ProgramPhase::kRecovering)
       ResolveIntent(&program, now);
   }
 }
 
-void Home::ResolveIntent(Program* program, Time now) {
+void Coordinator::ResolveIntent(Program* program, Time now) {
   if (!program->adopted_from.vm.empty()) return;  // history not read yet
   const Intent& intent = program->state.meta.intent;
   const bool    settled =
       !intent.IsSet() || program->state.turns.contains(intent.call.sequence);
-  if (settled) return Recovered(program, now);
+  if (settled) return FinishRecovery(program, now);
   if (!program->active) {
-    Active active;
+    ActiveCall active;
     active.call = intent.call;
     active.executor = intent.executor;
     active.since = now;
@@ -76,11 +75,12 @@
     }
     program->active = std::move(active);
   }
-  Active& active = *program->active;
-  m_parts.membership.KeepWatched(active.executor, now);
-  const bool silent = now - active.since > m_settings.unknown_after;
-  if (silent || m_parts.membership.IsReplaced(active.executor)) {
-    // No answer from the one place where it may have run: nobody can know.
+  ActiveCall& active = *program->active;
+  m_deps.membership.ProbeTemporarily(active.executor, now);
+  const bool timed_out = now - active.since > m_settings.unknown_timeout;
+  if (timed_out || m_deps.membership.IsReplaced(active.executor)) {
+    // No reply from the only node where it may have run: the outcome is
+    // unknown.
     const Failure unknown{Reason::kOutcomeUnknown, Ran::kUnknown, 0};
     return Settle(program, {}, &unknown, now);
   }
@@ -88,13 +88,13 @@
       now - active.fence_sent < m_settings.fence_resend)
     return;
   active.fence_sent = now;
-  m_parts.outbox.Send(active.executor,
-                      FenceCall{program->state.meta.id, active.call.sequence,
-                                program->fence, active.executor});
+  m_deps.outbox.Send(active.executor,
+                     FenceCall{program->state.meta.id, active.call.sequence,
+                               program->fence, active.executor});
 }
 
-void Home::OnFenceReply(const NodeRef& from, const FenceReply& reply,
-                        Time now) {
+void Coordinator::OnFenceReply(const NodeRef& from, const FenceReply& reply,
+                               Time now) {
   const auto found = m_programs.find(reply.program);
   if (found == m_programs.end()) return;
   Program*   program = &found->second;
@@ -105,14 +105,14 @@
   if (!matches) return;
   switch (reply.state) {
     case FencedState::kNeverSeen:
-      // Fenced, so that it never will run there: free to run it afresh.
+      // Fenced there, so that it is safe to run it again.
       if (!program->active->callers.empty()) {
         program->waiting[reply.sequence] = {
             program->active->call, std::move(program->active->callers)};
       }
       program->active.reset();
       program->state.meta.intent = {};
-      return Recovered(program, now);
+      return FinishRecovery(program, now);
     case FencedState::kRunning:
       program->active->since = now;  // alive: ask again
       return;
@@ -127,7 +127,7 @@
   Settle(program, reply.answer, ok ? nullptr : &failure, now);
 }
 
-void Home::Recovered(Program* program, Time now) {
+void Coordinator::FinishRecovery(Program* program, Time now) {
   program->active.reset();
   Fire(program, ProgramEvent::kRecovered);
   Advance(program, now);
--- a/src/yuccawick/core/durability.cc
+++ b/src/yuccawick/core/durability.cc
@@ -6,12 +6,14 @@
 namespace yuccawick::core {
 namespace {
 
-constexpr std::size_t kMetaBytes = 200;     // of a delta without its turns
-constexpr std::size_t kTurnBytes = 100;     // of a turn without its texts
-constexpr Duration    kKeepEnded = 60'000;  // well past the next flush
-constexpr Duration    kKeepUnassigned = 600'000;  // a candidate copies sooner
-constexpr std::size_t kMostPerAppend = 512;
-constexpr std::size_t kMostBytesPerAppend = 1 << 20;
+constexpr std::size_t kMetaBytes = 200;  // metadata of a delta
+constexpr std::size_t kTurnBytes = 100;  // turn without its texts
+constexpr Duration    kEndedRetention =
+    60'000;  // ms; longer than a flush interval
+constexpr Duration kUnassignedRetention =
+    600'000;  // ms; longer than a full copy takes
+constexpr std::size_t kMaxDeltasPerAppend = 512;
+constexpr std::size_t kMaxBytesPerAppend = 1 << 20;
 
 }  // namespace
 
@@ -26,14 +28,14 @@
 
 Durability::Durability(NodeRef self, DurabilitySettings settings,
                        const Control& control, Outbox& outbox,
-                       std::function<void(Ticket)> on_held)
+                       std::function<void(Ticket)> on_durable)
     : m_self(std::move(self)),
       m_settings(settings),
       m_control(control),
       m_outbox(outbox),
-      m_on_held(std::move(on_held)) {}
+      m_on_durable(std::move(on_durable)) {}
 
-Ticket Durability::Hold(const ProgramDelta& delta, Time now) {
+Ticket Durability::MakeDurable(const ProgramDelta& delta, Time now) {
   const Ticket ticket = m_outbox.NextNumber();
   m_waiting.insert(ticket);
   const std::size_t bytes = SizeOf(delta);
@@ -44,9 +46,9 @@
   return ticket;
 }
 
-void Durability::SendBatch(Link* link, Ticket ticket, const ProgramDelta& delta,
-                           Time now) {
-  if (link->unacked.empty()) link->waits_since = now;
+void Durability::SendBatch(ReplicaLink* link, Ticket ticket,
+                           const ProgramDelta& delta, Time now) {
+  if (link->unacked.empty()) link->oldest_sent = now;
   link->unacked[ticket] = delta;
   link->last_sent = now;
   m_outbox.Send(link->node, Replicate{ticket, {delta}});
@@ -69,8 +71,9 @@
 
 bool Durability::AreCandidatesReady() const {
   return !m_candidate_nodes.empty() &&
-         std::all_of(m_candidates.begin(), m_candidates.end(),
-                     [](const Link& link) { return link.unacked.empty(); });
+         std::all_of(
+             m_candidates.begin(), m_candidates.end(),
+             [](const ReplicaLink& link) { return link.unacked.empty(); });
 }
 
 void Durability::DropCandidates() {
@@ -88,7 +91,7 @@
 bool Durability::OnAssigned(const std::vector<NodeRef>& replicas) {
   if (replicas.empty() || replicas == Replicas()) return false;
   if (replicas != m_candidate_nodes) return false;
-  std::vector<Link> assigned;
+  std::vector<ReplicaLink> assigned;
   for (const auto& node : replicas) {
     for (auto* links : {&m_candidates, &m_replicas}) {
       for (auto& link : *links) {
@@ -98,43 +101,44 @@
   }
   m_replicas = std::move(assigned);
   DropCandidates();
-  // What the new set has acknowledged while it was a candidate counts now.
-  for (const Ticket ticket : std::set<Ticket>(m_waiting)) HeldIfAllHave(ticket);
+  // Acknowledgements received from candidates count now.
+  for (const Ticket ticket : std::set<Ticket>(m_waiting))
+    MarkIfReplicated(ticket);
   return true;
 }
 
 void Durability::OnReplicateReply(const NodeRef&        from,
                                   const ReplicateReply& reply, Time now) {
-  if (!reply.held) return;
+  if (!reply.stored) return;
   for (auto* links : {&m_candidates, &m_replicas}) {
     for (auto& link : *links) {
       if (link.node != from || link.unacked.erase(reply.batch) == 0) continue;
-      link.waits_since = now;
+      link.oldest_sent = now;
     }
   }
-  HeldIfAllHave(reply.batch);
+  MarkIfReplicated(reply.batch);
 }
 
-bool Durability::IsHeldByAll(Ticket ticket) const {
+bool Durability::IsFullyReplicated(Ticket ticket) const {
   return !m_replicas.empty() &&
          std::none_of(m_replicas.begin(), m_replicas.end(),
-                      [ticket](const Link& link) {
+                      [ticket](const ReplicaLink& link) {
                         return link.unacked.contains(ticket);
                       });
 }
 
-void Durability::HeldIfAllHave(Ticket ticket) {
-  if (IsHeldByAll(ticket)) Held(ticket);
+void Durability::MarkIfReplicated(Ticket ticket) {
+  if (IsFullyReplicated(ticket)) MarkDurable(ticket);
 }
 
-void Durability::Held(Ticket ticket) {
-  if (m_waiting.erase(ticket) > 0) m_on_held(ticket);
+void Durability::MarkDurable(Ticket ticket) {
+  if (m_waiting.erase(ticket) > 0) m_on_durable(ticket);
 }
 
 bool Durability::IsLate(Time now) const {
-  const auto late = [&](const Link& link) {
+  const auto late = [&](const ReplicaLink& link) {
     return !link.unacked.empty() &&
-           now - link.waits_since > m_settings.late_after;
+           now - link.oldest_sent > m_settings.late_after;
   };
   return m_replicas.empty() ||
          std::any_of(m_replicas.begin(), m_replicas.end(), late);
@@ -148,7 +152,7 @@
   if (now - m_last_flush >= interval) FlushNow(now);
 }
 
-void Durability::Resend(Link* link, Time now) {
+void Durability::Resend(ReplicaLink* link, Time now) {
   if (now - link->last_sent < m_settings.resend_after) return;
   link->last_sent = now;
   for (const auto& [ticket, delta] : link->unacked)
@@ -159,10 +163,10 @@
   if (m_append != 0 || m_unlogged.empty() || now < m_retry_at) return;
   m_last_flush = now;
   HistoryRecord record;
-  record.home = m_self;
+  record.coordinator = m_self;
   std::size_t bytes = 0;
-  while (!m_unlogged.empty() && m_appending.size() < kMostPerAppend &&
-         bytes < kMostBytesPerAppend) {
+  while (!m_unlogged.empty() && m_appending.size() < kMaxDeltasPerAppend &&
+         bytes < kMaxBytesPerAppend) {
     Item& item = m_unlogged.front();
     bytes += item.bytes;
     record.deltas.push_back(item.delta);
@@ -182,13 +186,12 @@
       if (m_waiting.contains(item.ticket)) m_unconfirmed.insert(item.ticket);
     }
     m_appending.clear();
-    // A backlog, as after an outage, is not left to the next interval: it would
-    // grow faster than it is written.
+    // Continue with a backlog at once. Waiting for the next interval could let
+    // it grow faster than it is written.
     if (m_batch_was_full) FlushNow(now);
     return;
   }
-  // Refused, or nobody knows: appended again, since reading a delta twice
-  // changes nothing.
+  // Refused or unknown: append again. Reading a delta twice has no effect.
   for (auto it = m_appending.rbegin(); it != m_appending.rend(); ++it)
     m_unlogged.push_front(std::move(*it));
   m_appending.clear();
@@ -215,9 +218,10 @@
     m_confirming.clear();
     return;
   }
-  // Claimed: the adopter may have read the history before the append landed.
+  // Claimed: the adopter may have read the history before the append.
   if (!owner) return;
-  for (const Ticket ticket : std::exchange(m_confirming, {})) Held(ticket);
+  for (const Ticket ticket : std::exchange(m_confirming, {}))
+    MarkDurable(ticket);
 }
 
 // ---- BackupStore
@@ -228,45 +232,46 @@
   ReplicateReply reply{replicate.batch, false};
   const bool     claimed = member != nullptr && member->IsClaimed();
   if (!claimed) {
-    Backup& backup = m_homes[from];
+    Backup& backup = m_coordinators[from];
     backup.updated = now;
     for (const auto& delta : replicate.deltas)
       backup.programs[delta.meta.id].Apply(delta);
-    reply.held = true;
+    reply.stored = true;
   }
   m_outbox.Send(from, reply);
 }
 
-std::vector<ProgramDelta> BackupStore::Take(const NodeRef& home) {
+std::vector<ProgramDelta> BackupStore::Take(const NodeRef& coordinator) {
   std::vector<ProgramDelta> deltas;
-  const auto                it = m_homes.find(home);
-  if (it == m_homes.end()) return deltas;
+  const auto                it = m_coordinators.find(coordinator);
+  if (it == m_coordinators.end()) return deltas;
   for (const auto& [id, state] : it->second.programs)
-    deltas.push_back(state.Whole());
-  m_homes.erase(it);
+    deltas.push_back(state.ToDelta());
+  m_coordinators.erase(it);
   return deltas;
 }
 
 void BackupStore::Forget(const NodeRef& self, Time now) {
-  for (auto& [home, backup] : m_homes) {
+  for (auto& [coordinator, backup] : m_coordinators) {
     std::erase_if(backup.programs, [now](const auto& entry) {
       const ProgramMeta& meta = entry.second.meta;
-      return meta.ended && now - meta.last_active > kKeepEnded;
+      return meta.ended && now - meta.last_active > kEndedRetention;
     });
   }
-  std::erase_if(m_homes, [&](const auto& entry) {
+  std::erase_if(m_coordinators, [&](const auto& entry) {
     const Member* member = m_control.FindMember(entry.first);
     if (member == nullptr) return false;
     if (member->IsClaimed()) return member->adopter != self;
     const bool elsewhere =
         !member->replicas.empty() && !member->HasReplica(self);
-    return elsewhere && now - entry.second.updated > kKeepUnassigned;
+    return elsewhere && now - entry.second.updated > kUnassignedRetention;
   });
 }
 
 std::size_t BackupStore::ProgramCount() const {
   std::size_t count = 0;
-  for (const auto& [home, backup] : m_homes) count += backup.programs.size();
+  for (const auto& [coordinator, backup] : m_coordinators)
+    count += backup.programs.size();
   return count;
 }
 
--- a/src/yuccawick/core/scheduling.cc
+++ b/src/yuccawick/core/scheduling.cc
@@ -6,22 +6,22 @@
 namespace yuccawick::core {
 namespace {
 
-// One class of priority outweighs this many doublings of attained service.
+// One priority level outweighs this many doublings of attained service.
 constexpr double kPriorityStep = 4.0;
-// Waiting this part of the allowed time is worth one class of priority.
+// Priority levels gained by waiting for the complete allowed time.
 constexpr double kAgingClasses = 10.0;
-// At full cache weight, a token to recompute counts this many times over.
+// Weight of a token to recompute at full cache weight.
 constexpr double kCacheEmphasis = 8.0;
 constexpr double kFullWeight = 100.0;
-constexpr double kCrowdUnit = 1000.0;  // tokens
+constexpr double kResidencyUnit = 1000.0;  // tokens
 
-// A program's age is worth at most this many classes, so that old work of an
-// ordinary class never goes before a new urgent call; half of it at kHalfAge
-// ms.
-constexpr double kMostAgeClasses = 4.5;
-constexpr double kHalfAge = 40'000;
+// Upper bound of the priority levels gained by program age, so that old work of
+// a normal class never precedes a new urgent call. Half of it is reached at
+// kHalfAge.
+constexpr double kMaxAgeClasses = 4.5;
+constexpr double kHalfAge = 40'000;  // ms
 
-// Classes gained by waiting: all of them by the end of the allowed time.
+// Priority levels gained by waiting so far.
 double Aging(const QueuedCall& call, Time now) {
   const double waited = static_cast<double>(now - call.arrived);
   const double allowed =
@@ -60,7 +60,7 @@
 double OldestProgramQueue::Rank(const QueuedCall& call, Time now) const {
   const double aging = Aging(call, now);
   const auto   under_way = static_cast<double>(now - call.started);
-  const double age = kMostAgeClasses * under_way / (under_way + kHalfAge);
+  const double age = kMaxAgeClasses * under_way / (under_way + kHalfAge);
   return static_cast<double>(call.priority) - aging - age;
 }
 
@@ -75,7 +75,7 @@
 int StickyRoute::Choose(const RouteRequest& /*request*/,
                         const std::vector<RouteCandidate>& candidates) const {
   return Cheapest(candidates, [](const RouteCandidate& c) {
-    return c.is_home ? -1.0 : static_cast<double>(c.wait);
+    return c.is_coordinator ? -1.0 : static_cast<double>(c.wait);
   });
 }
 
@@ -88,10 +88,10 @@
   return Cheapest(candidates, [&](const RouteCandidate& c) {
     const auto missing =
         static_cast<double>(std::max<Tokens>(0, request.prompt - c.cached));
-    const Duration reluctance = c.is_home ? 0 : m_reluctance;
-    const double   crowd =
-        m_crowding * static_cast<double>(c.resident) / kCrowdUnit;
-    return static_cast<double>(c.wait + reluctance) + crowd +
+    const Duration switch_cost = c.is_coordinator ? 0 : m_switch_cost;
+    const double   residency =
+        m_residency_cost * static_cast<double>(c.resident) / kResidencyUnit;
+    return static_cast<double>(c.wait + switch_cost) + residency +
            weight * missing / m_prefill_tokens_per_ms;
   });
 }
--- a/tests/fixture.h
+++ b/tests/fixture.h
@@ -1,5 +1,5 @@
-// The group that most proofs run against: two entries, three agents beside
-// model engines in three availability zones, two beside application servers.
+// Test cluster for the core: two entries, three agents beside model engines in
+// three availability zones and two agents beside application servers.
 #pragma once
 
 #include <string>
@@ -14,13 +14,14 @@
 using testing::GroupSettings;
 using testing::LogMode;
 
-constexpr core::Duration kLong = 60'000;  // ms, ample for any recovery
+constexpr core::Duration kRecoveryTimeout =
+    60'000;  // ms, longer than any recovery
 
-inline const std::string kHomeA = "model-a";
-inline const std::string kHomeB = "model-b";
-inline const std::string kHomeC = "model-c";
-inline const std::string kDesk1 = "app-a";
-inline const std::string kDesk2 = "app-b";
+inline const std::string kCoordinatorA = "model-a";
+inline const std::string kCoordinatorB = "model-b";
+inline const std::string kCoordinatorC = "model-c";
+inline const std::string kAppServerA = "app-a";
+inline const std::string kAppServerB = "app-b";
 
 struct SmallGroup {
   explicit SmallGroup(core::Safeguards safeguards = core::Safeguards::All(),
@@ -28,11 +29,13 @@
       : group(Settings(safeguards, seed, replicas)) {
     group.AddEntry("entry-a", "saburtalo");
     group.AddEntry("entry-b", "gldani");
-    group.AddAgent(kHomeA, "saburtalo", core::BackendKind::kModel, "m");
-    group.AddAgent(kHomeB, "gldani", core::BackendKind::kModel, "m");
-    group.AddAgent(kHomeC, "isani", core::BackendKind::kModel, "m");
-    group.AddAgent(kDesk1, "saburtalo", core::BackendKind::kService, "booking");
-    group.AddAgent(kDesk2, "gldani", core::BackendKind::kService, "booking");
+    group.AddAgent(kCoordinatorA, "saburtalo", core::BackendKind::kModel, "m");
+    group.AddAgent(kCoordinatorB, "gldani", core::BackendKind::kModel, "m");
+    group.AddAgent(kCoordinatorC, "isani", core::BackendKind::kModel, "m");
+    group.AddAgent(kAppServerA, "saburtalo", core::BackendKind::kService,
+                   "booking");
+    group.AddAgent(kAppServerB, "gldani", core::BackendKind::kService,
+                   "booking");
     group.Publish(Group::DefaultContract("sakhli"));
     settled = group.Settle();
   }
@@ -46,32 +49,32 @@
     return settings;
   }
 
-  // Starts a program; its home is home().
+  // Starts a program; Coordinator() is its coordinator.
   core::ProgramId Start() {
     const auto started = group.StartNow("entry-a", "sakhli", "w1");
     program = started.value_or(core::ProgramId{});
     return program;
   }
-  std::string              Home() const { return program.origin.vm; }
-  // The VMs that back the home up.
+  std::string              Coordinator() const { return program.origin.vm; }
+  // The VMs that are replicas of the coordinator.
   std::vector<std::string> Replicas() {
     std::vector<std::string> names;
-    for (const auto& node : group.agent(Home()).durability().Replicas())
+    for (const auto& node : group.agent(Coordinator()).durability().Replicas())
       names.push_back(node.vm);
     return names;
   }
-  // The one of them that will take over if only it can reach the log.
+  // The first replica.
   std::string Replica() { return Replicas().front(); }
-  // Where the program lives now, as some entry sees it.
-  std::string HomeNow() {
+  // The current coordinator, as seen by entry-b.
+  std::string CurrentCoordinator() {
     return group.entry("entry-b").control().Resolve(program.origin).node.vm;
   }
   bool IsBusy(const std::string& vm) {
     return group.agent(vm).executor().RunningCount() > 0;
   }
-  // The application server that has taken the call.
-  std::string DeskOf(core::Sequence sequence) {
-    for (const auto& vm : {kDesk1, kDesk2}) {
+  // The application server that ran the call; empty if none.
+  std::string AppServerOf(core::Sequence sequence) {
+    for (const auto& vm : {kAppServerA, kAppServerB}) {
       if (group.backend(vm).EffectsOf({program, sequence}) > 0) return vm;
     }
     return {};
--- a/tests/order_test.cc
+++ b/tests/order_test.cc
@@ -1,4 +1,4 @@
-// 1. The calls of one program run in the order the program issued them.
+// Guarantee: the calls of a program run in the order of their sequence numbers.
 #include <criterion/criterion.h>
 
 #include <algorithm>
@@ -11,11 +11,11 @@
 using core::Safeguard;
 using core::Safeguards;
 
-// The sequence numbers of a program's calls as its engines ran them.
+// The sequence numbers of a program's calls in the order that engines ran them.
 std::vector<core::Sequence> RunOrder(SmallGroup&            s,
                                      const core::ProgramId& program) {
   std::vector<core::Sequence> order;
-  for (const auto& vm : {kHomeA, kHomeB, kHomeC}) {
+  for (const auto& vm : {kCoordinatorA, kCoordinatorB, kCoordinatorC}) {
     for (const auto& [id, sequence] : s.group.backend(vm).order()) {
       if (id == program) order.push_back(sequence);
     }
@@ -23,7 +23,7 @@
   return order;
 }
 
-bool CrossedCallsRunInOrder(Safeguards safeguards) {
+bool ReorderedCallsRunInOrder(Safeguards safeguards) {
   SmallGroup s(safeguards);
   s.Start();
   std::vector<std::uint64_t>     requests;
@@ -38,46 +38,44 @@
         return std::all_of(requests.begin(), requests.end(),
                            [&](auto r) { return s.group.IsAnswered(r); });
       },
-      kLong);
+      kRecoveryTimeout);
   return RunOrder(s, s.program) == std::vector<core::Sequence>{1, 2, 3, 4};
 }
 
-Test(CallOrder, CrossedOverTwoEntries_RunsAsIssued) {
-  // The caller sees all four answered. The calls reach the home as 3, 1, 4, 2;
-  // each waits there for its predecessor. Without that wait, 3 runs first on a
-  // state its program has not reached.
+Test(CallOrder, CallsArriveReordered_RunInIssuedOrder) {
+  // Guards against a call that runs before its predecessors and so acts on a
+  // state that its program has not reached.
   cr_assert_not(
-      CrossedCallsRunInOrder(Safeguards::Without(Safeguard::kCallOrder)));
-  cr_assert(CrossedCallsRunInOrder(Safeguards::All()));
+      ReorderedCallsRunInOrder(Safeguards::Without(Safeguard::kCallOrder)));
+  cr_assert(ReorderedCallsRunInOrder(Safeguards::All()));
 }
 
-Test(CallOrder, HomeReplacedBetweenCrossedCalls_RunsAsIssued) {
-  // The caller sees both answered, the second one late. Call 2 waits at the
-  // home for call 1 when the home dies; the entry brings it to the new home,
-  // where it waits again until call 1 comes.
+Test(CallOrder, CoordinatorReplacedBetweenReorderedCalls_RunInIssuedOrder) {
+  // Guards against a lost waiting call: call 2 waits for call 1 when the
+  // coordinator dies, and the entry sends it to the new one.
   SmallGroup s;
   s.Start();
   const auto second =
       s.group.Call("entry-a", s.group.ModelCall(s.program, 2, "second"));
   s.group.Advance(20);
-  s.group.Kill(s.Home());
+  s.group.Kill(s.Coordinator());
   const auto first = s.group.CallThrough(
-      {"entry-b"}, s.group.ModelCall(s.program, 1, "first"), kLong);
+      {"entry-b"}, s.group.ModelCall(s.program, 1, "first"), kRecoveryTimeout);
   cr_assert(first.ok);
-  cr_assert(
-      s.group.AdvanceUntil([&] { return s.group.IsAnswered(second); }, kLong));
+  cr_assert(s.group.AdvanceUntil([&] { return s.group.IsAnswered(second); },
+                                 kRecoveryTimeout));
   const auto& reply = std::get<core::CallReply>(*s.group.AnswerTo(second));
   cr_assert(reply.ok, "%s", core::Name(reply.failure.reason).data());
   const std::vector<core::Sequence> order{1, 2};
   cr_assert(RunOrder(s, s.program) == order);
 }
 
-Test(CallOrder, SubAgentBesideItsParent_HasAnOrderOfItsOwn) {
+Test(CallOrder, SubAgentBesideItsParent_IsOrderedIndependently) {
   SmallGroup s;
   s.Start();
   const auto started = s.group.Start("entry-b", "sakhli", "w1", "m", s.program);
-  cr_assert(
-      s.group.AdvanceUntil([&] { return s.group.IsAnswered(started); }, kLong));
+  cr_assert(s.group.AdvanceUntil([&] { return s.group.IsAnswered(started); },
+                                 kRecoveryTimeout));
   const auto child =
       std::get<core::StartReply>(*s.group.AnswerTo(started)).program;
   cr_assert_eq(child.origin, s.program.origin);
--- a/tests/stop_test.cc
+++ b/tests/stop_test.cc
@@ -14,21 +14,22 @@
 
 std::vector<core::VmEntry> ListWithLeaving(const std::string& leaving) {
   std::vector<core::VmEntry> list;
-  for (const auto& vm : {kHomeA, kHomeB, kHomeC, kDesk1, kDesk2})
+  for (const auto& vm :
+       {kCoordinatorA, kCoordinatorB, kCoordinatorC, kAppServerA, kAppServerB})
     list.push_back({vm, "", vm == leaving});
   return list;
 }
 
 bool LeavingServerGetsNothing(Safeguards safeguards) {
   SmallGroup s(safeguards);
-  s.group.SetVmList(ListWithLeaving(kDesk1));
+  s.group.SetVmList(ListWithLeaving(kAppServerA));
   s.group.Advance(kFewSeconds);
-  const auto before = s.group.backend(kDesk1).order().size();
+  const auto before = s.group.backend(kAppServerA).order().size();
   for (int i = 0; i < 20; ++i) {
     s.Start();
     s.group.CallNow("entry-a", s.group.ServiceCall(s.program, 1, "x"));
   }
-  return s.group.backend(kDesk1).order().size() == before;
+  return s.group.backend(kAppServerA).order().size() == before;
 }
 
 Test(Leaving, ServerListedAsLeaving_GetsNoNewWork) {
@@ -43,28 +44,31 @@
   // must tell it that an unreachable node is leaving.
   SmallGroup s;
   s.group.SetVmList(ListWithLeaving(""));
-  s.group.Cut("entry-a", kHomeA);
-  s.group.Cut("entry-a", kDesk1);
-  s.group.log().Append({0,
-                        std::string(core::kControlStream),
-                        {core::LeaveRecord{s.group.agent(kHomeA).self()}}});
+  s.group.Cut("entry-a", kCoordinatorA);
+  s.group.Cut("entry-a", kAppServerA);
+  s.group.log().Append(
+      {0,
+       std::string(core::kControlStream),
+       {core::LeaveRecord{s.group.agent(kCoordinatorA).self()}}});
   s.group.Advance(kFewSeconds);
-  for (int i = 0; i < 20; ++i) cr_assert_neq(s.Start().origin.vm, kHomeA);
+  for (int i = 0; i < 20; ++i)
+    cr_assert_neq(s.Start().origin.vm, kCoordinatorA);
 }
 
 bool StoppedAgentFinishesItsCall(Safeguards safeguards) {
   SmallGroup s(safeguards);
   s.Start();
-  for (const auto& server : {kDesk1, kDesk2})
+  for (const auto& server : {kAppServerA, kAppServerB})
     s.group.backend(server).Hold(true);
   const auto request =
       s.group.Call("entry-a", s.group.ServiceCall(s.program, 1, "friday 9"));
-  s.group.AdvanceUntil([&] { return !s.DeskOf(1).empty(); }, kFewSeconds);
-  s.group.Stop(s.DeskOf(1));
+  s.group.AdvanceUntil([&] { return !s.AppServerOf(1).empty(); }, kFewSeconds);
+  s.group.Stop(s.AppServerOf(1));
   s.group.Advance(1000);
-  for (const auto& server : {kDesk1, kDesk2})
+  for (const auto& server : {kAppServerA, kAppServerB})
     s.group.backend(server).Hold(false);
-  s.group.AdvanceUntil([&] { return s.group.IsAnswered(request); }, kLong);
+  s.group.AdvanceUntil([&] { return s.group.IsAnswered(request); },
+                       kRecoveryTimeout);
   return std::get<core::CallReply>(*s.group.AnswerTo(request)).ok;
 }
 
@@ -84,15 +88,15 @@
   const auto request =
       s.group.Call("entry-a", s.group.ModelCall(s.program, 1, "one"));
   s.group.Advance(20);
-  s.group.Stop(s.Home());
-  cr_assert(
-      s.group.AdvanceUntil([&] { return s.group.IsAnswered(request); }, kLong));
+  s.group.Stop(s.Coordinator());
+  cr_assert(s.group.AdvanceUntil([&] { return s.group.IsAnswered(request); },
+                                 kRecoveryTimeout));
   cr_assert(std::get<core::CallReply>(*s.group.AnswerTo(request)).ok);
   const auto next = s.group.CallThrough(
-      {"entry-b"}, s.group.ModelCall(s.program, 2, "two"), kLong);
+      {"entry-b"}, s.group.ModelCall(s.program, 2, "two"), kRecoveryTimeout);
   cr_assert(next.ok, "%s", core::Name(next.failure.reason).data());
   s.group.Advance(5000);
-  cr_assert_not(s.group.IsRunning(s.Home()));
+  cr_assert_not(s.group.IsRunning(s.Coordinator()));
   cr_assert_eq(s.group.TotalEffects({s.program, 1}), 1);
 }
 
@@ -115,7 +119,7 @@
       s.group.Call("entry-a", s.group.ModelCall(s.program, 1, "one"));
   s.group.Advance(20);
   s.group.Stop("entry-a");
-  s.group.Stop(s.Home());
+  s.group.Stop(s.Coordinator());
   s.group.Advance(5000);
   cr_assert(std::get<core::CallReply>(*s.group.AnswerTo(request)).ok);
 }
@@ -128,8 +132,9 @@
   programs.reserve(12);
   for (int i = 0; i < 12; ++i) programs.push_back(s.Start());
   core::Sequence                 sequence = 0;
-  const std::vector<std::string> nodes{kHomeA, kDesk1,    kHomeB,   kDesk2,
-                                       kHomeC, "entry-a", "entry-b"};
+  const std::vector<std::string> nodes{
+      kCoordinatorA, kAppServerA, kCoordinatorB, kAppServerB,
+      kCoordinatorC, "entry-a",   "entry-b"};
   for (const auto& vm : nodes) {
     ++sequence;
     const std::string entry = vm == "entry-a" ? "entry-b" : "entry-a";
@@ -138,14 +143,14 @@
       const auto call = sequence % 2 == 0
                             ? s.group.ServiceCall(program, sequence, "book")
                             : s.group.ModelCall(program, sequence, "say");
-      const auto reply = s.group.CallThrough({entry}, call, kLong);
+      const auto reply = s.group.CallThrough({entry}, call, kRecoveryTimeout);
       cr_assert(reply.ok, "%s at %s: %s", core::ToString(program).c_str(),
                 vm.c_str(), core::Name(reply.failure.reason).data());
       cr_assert_eq(s.group.TotalEffects({program, sequence}), 1);
     }
-    cr_assert(
-        s.group.AdvanceUntil([&] { return !s.group.IsRunning(vm); }, kLong),
-        "%s stops", vm.c_str());
+    cr_assert(s.group.AdvanceUntil([&] { return !s.group.IsRunning(vm); },
+                                   kRecoveryTimeout),
+              "%s stops", vm.c_str());
     s.group.Restart(vm);
     cr_assert(s.group.Settle(), "%s is back", vm.c_str());
   }
