--- a/src/yuccawick/admission/admission_controller.cc
+++ b/src/yuccawick/admission/admission_controller.cc
@@ -11,7 +11,7 @@
 // turn counts as a turn of a running program.
 constexpr Duration    kEndedProgramTtl = 10'000;
 // Upper bound on the duration of a turn, in ms. A turn that runs longer is
-// taken for lost.
+// considered lost.
 constexpr Duration    kMaxTurnDuration = 60'000;
 constexpr std::size_t kMaxRoutes = 256;
 constexpr double      kIdleMemoryFactor = 2.0;
@@ -120,7 +120,7 @@
 // Capacity for the programs ahead becomes free as programs end. A program that
 // can still finish in time retries at least twice more before its slack is used
 // up. Each refusal doubles the minimum delay, so that a client with few tries
-// does not spend them all within one short burst.
+// does not use all of them within one short burst.
 Duration AdmissionController::ComputeRetryDelay(std::optional<Duration> slack,
                                                 int refusals, Time now) const {
   constexpr int kMaxDoublings = 4;
--- a/src/yuccawick/admission/admission_controller.h
+++ b/src/yuccawick/admission/admission_controller.h
@@ -45,17 +45,17 @@
   // Expected final tokens of the running programs, as a share of the memory of
   // the service.
   double   memory = 1.0;
-  // Up to this share of the slots, programs are admitted beyond `memory`, up to
-  // twice the memory: half-idle servers can recompute an evicted prompt without
-  // delaying other turns.
+  // While at most this share of the slots is in use, programs are admitted
+  // beyond `memory`, up to twice the memory of the service: half-idle servers
+  // can recompute an evicted prompt without delaying other turns.
   double   idle = 0.5;
   // Share of the capacity for programs that can no longer finish in time.
   double   late = 0.8;
   // ms after the start in which only idle slots are granted, until the running
   // programs have been learned from their next turns.
   Duration settling = 1000;
-  // Expected think time of a route before any was observed, in ms; and the
-  // factor applied to the observed think time to get the idle timeout.
+  // Initial estimate of a route's think time, in ms, and the factor from the
+  // estimated think time to the idle timeout.
   Duration default_think_time = 500;
   double   think_time_factor = 1.25;
   // Bounds of the retry delay, in ms.
@@ -115,9 +115,9 @@
   CapacityUsage LocalUsage() const;
   void SetPeerUsage(const std::string& peer, const UsageByPartition& usage,
                     Time now);
-  // Usage of all coordinators, as far as it is known. A program whose partition
-  // is moving, or is served by two coordinators during a network partition, is
-  // counted by both.
+  // Usage of all coordinators, from the valid reports of the peers. A program
+  // whose partition is moving, or is served by two coordinators during a
+  // network partition, is counted by both.
   CapacityUsage TotalUse(Time now) const;
   // Programs refused since the last call.
   int           TakeRefusedCount();
--- a/src/yuccawick/admission/retry_list.h
+++ b/src/yuccawick/admission/retry_list.h
@@ -35,8 +35,8 @@
   void        Put(const std::string& program, std::optional<Duration> time_left,
                   bool late, Duration retry_delay, Time now);
   void        Remove(const std::string& program);
-  // Number of pending retries that go before a program that is, or is not,
-  // late.
+  // Number of pending retries that go before the retry of one program. `late`:
+  // that program can no longer finish in time, so late retries count as well.
   std::size_t CountAhead(bool late, Time now) const;
   // Number of programs in their retry window that can still finish in time.
   std::size_t CountDue(Time now) const;
--- a/src/yuccawick/admission/route_profile.h
+++ b/src/yuccawick/admission/route_profile.h
@@ -42,10 +42,11 @@
 
 class RouteProfile {
  public:
-  // `think_time`: estimate used until think times were observed, in ms.
+  // `think_time`: initial estimate of the think time, in ms.
   explicit RouteProfile(Duration think_time);
 
-  // A program ended with `tokens` after `duration` ms. `initial_time_left`:
+  // Records a program that ended with `tokens` tokens after `duration` ms.
+  // `initial_time_left`:
   // time until its deadline at its first turn, in ms; 0 if it had none.
   void ObserveEnd(Tokens tokens, Duration duration, Duration initial_time_left);
   void ObserveThinkTime(Duration think_time);
--- a/src/yuccawick/capacity/server_slowdown.h
+++ b/src/yuccawick/capacity/server_slowdown.h
@@ -8,7 +8,7 @@
 // A slowdown is the time that the same work takes, divided by the median over
 // the service: 1 is the median, 2 takes twice as long. It is the product of a
 // lasting part, which changes slowly, and a transient part, which is detected
-// within two or three events and forgotten as fast.
+// within two or three events and forgotten as quickly.
 //
 //   SlowdownBaseline  one per service: converts the duration of a piece of work
 //                     to a slowdown, given how long that kind of work usually
@@ -78,7 +78,8 @@
   // that they should be sent without waiting for the next periodic report.
   bool             NeedsImmediateReport() const;
 
-  // Rescales past observations to a new median; later ones are not affected.
+  // Multiplies the past observations by `factor`, because the median changed;
+  // later observations are not affected.
   void Rescale(double factor);
   bool slow() const { return m_slow; }
   // Updates slow() and returns true if it changed. Call periodically.
--- a/src/yuccawick/fairness/fair_share_policy.h
+++ b/src/yuccawick/fairness/fair_share_policy.h
@@ -2,8 +2,8 @@
 //
 // First come, first served grants capacity in proportion to demand: when one
 // workspace sends many times its usual load, all workspaces are refused alike.
-// This policy keeps a margin of the capacity free for whoever should go first
-// (trunk reservation):
+// This policy keeps a margin of the capacity free for the programs that should
+// go first (trunk reservation). The margin is the sum of three parts:
 //
 //   usage     grows with the usage of the workspace above the average of the
 //             others
@@ -34,15 +34,17 @@
 
 // Times in ms, margins as shares of the capacity.
 struct FairShareSettings {
-  // Half-life of usage; also how long a request of an urgent route counts.
+  // Half-life of usage, and the time for which a request of an urgent route
+  // counts as recent.
   Duration     usage_half_life = 4000;
   // Margin for each doubling of a workspace's usage above the average of the
-  // others. Must exceed the random variation of running turns, or the margin is
-  // taken whenever few turns happen to run.
+  // others. Must exceed the random variation of running turns; otherwise the
+  // workspace uses up the margin whenever few turns happen to run.
   double       step = 0.15;
   double       max_usage_margin = 0.2;
-  // Lower bound of the others' average, in turns of average work: a workspace
-  // has no margin before it has used more than about one program does.
+  // Lower bound of the others' average, in turns of average work: no usage
+  // margin applies to a workspace until it has used more than about one program
+  // does.
   double       credit_turns = 10;
   double       urgency = 0.025;  // for each level behind the most urgent one
   double       late = 0.05;
@@ -67,7 +69,7 @@
   struct WorkspaceUsage {
     std::string workspace;
     double      part = 0;    // share of all usage
-    double      margin = 0;  // margin currently kept free
+    double      margin = 0;  // usage margin it currently leaves free
   };
   // Workspaces with the highest usage, in descending order.
   std::vector<WorkspaceUsage> TopWorkspaces(std::size_t max_count) const;
--- a/src/yuccawick/pressure/memory_budget.h
+++ b/src/yuccawick/pressure/memory_budget.h
@@ -76,7 +76,8 @@
   // Whether a body of this size may be read. `charged`: bytes already charged
   // for this body.
   bool CanAcceptBody(std::size_t body_bytes, std::size_t charged = 0) const;
-  // Current state; level() may stay higher for the hold time.
+  // Whether the node is full at this moment; level() may be higher, because it
+  // is held before it drops.
   bool IsFull() const { return bounded() && Above(m_settings.full); }
   // Updates level() and returns true if it changed. Call periodically, and
   // after each large change.
@@ -85,8 +86,9 @@
   bool                       bounded() const;
   std::size_t                bound() const { return m_bound; }
   std::size_t                total() const { return m_total; }
-  // Size to which turns should shrink if `turn_bytes` exceed their share. Lies
-  // 10% below the share, to avoid shrinking again at once.
+  // Size to which the cached turns should shrink; nullopt if `turn_bytes` is
+  // within their share. Lies 10% below the share, so that they need not shrink
+  // again at once.
   std::optional<std::size_t> TurnBytesTarget(std::size_t turn_bytes) const;
   std::size_t                used(MemoryKind kind) const {
                    return m_used[static_cast<std::size_t>(kind)];
@@ -110,7 +112,7 @@
 // tasks.
 using MemoryBudgetPtr = std::shared_ptr<MemoryBudget>;
 
-// Memory charged by one object for one kind.
+// Bytes that one object charges to the budget, all of one kind.
 class MemoryCharge final : public net::BufferMeter {
  public:
   MemoryCharge(MemoryBudgetPtr budget, MemoryKind kind)
