--- a/src/yuccawick/admission/admission_controller.cc
+++ b/src/yuccawick/admission/admission_controller.cc
@@ -125,14 +125,15 @@
                                                 int refusals, Time now) const {
   constexpr int kMaxDoublings = 4;
   const bool    late = slack && *slack <= 0;
-  const auto ahead = static_cast<double>(m_retries.CountAhead(late, now) + 1);
+  const auto    programs_ahead =
+      static_cast<double>(m_retries.CountAhead(late, now) + 1);
   const auto interval = m_end_interval.empty() ? 0.0 : m_end_interval.value();
   Duration   max_delay = m_settings->max_retry_delay;
   if (slack && !late) max_delay = std::min(max_delay, *slack / 3);
   const Duration min_delay =
       std::min(m_settings->min_retry_delay << std::min(refusals, kMaxDoublings),
                m_settings->max_retry_delay);
-  return std::clamp(static_cast<Duration>(ahead * interval), min_delay,
+  return std::clamp(static_cast<Duration>(programs_ahead * interval), min_delay,
                     std::max(min_delay, max_delay));
 }
 
@@ -285,9 +286,9 @@
 // Peers -----------------------------------------------------------------------
 
 CapacityUsage AdmissionController::LocalUsage() const {
-  CapacityUsage own;
-  for (const auto& [partition, usage] : m_local_usage) own += usage;
-  return own;
+  CapacityUsage local_usage;
+  for (const auto& [partition, usage] : m_local_usage) local_usage += usage;
+  return local_usage;
 }
 
 void AdmissionController::SetPeerUsage(const std::string&      peer,
--- a/src/yuccawick/capacity/server_slowdown.cc
+++ b/src/yuccawick/capacity/server_slowdown.cc
@@ -116,14 +116,14 @@
                                                           Time   now) {
   constexpr double kMinDuration = 0.5;  // ms; clock resolution
   Baseline&        baseline = m_kinds[std::string(kind)];
-  const double     time = std::log(std::max(kMinDuration, duration));
-  const double     at_median = time - std::log(slowdown);
-  const double     observed = time - baseline.log_time;
+  const double     log_duration = std::log(std::max(kMinDuration, duration));
+  const double     log_duration_at_median = log_duration - std::log(slowdown);
+  const double     observed = log_duration - baseline.log_time;
   const bool       has_baseline = baseline.count >= kMinBaselineSamples;
   const double     variance = baseline.variance;
   const double     share =
       1.0 / (std::min(baseline.count, kMaxBaselineSamples) + 1);
-  const double deviation = at_median - baseline.log_time;
+  const double deviation = log_duration_at_median - baseline.log_time;
   baseline.log_time += share * deviation;
   if (baseline.count > 0)
     baseline.variance += share * (deviation * deviation - baseline.variance);
@@ -145,11 +145,11 @@
       slowdowns.push_back(lasting.factor);
   }
   if (slowdowns.empty()) return;
-  const auto middle = slowdowns.begin() +
+  const auto median = slowdowns.begin() +
                       static_cast<std::ptrdiff_t>((slowdowns.size() - 1) / 2);
-  std::nth_element(slowdowns.begin(), middle, slowdowns.end());
-  for (ServerSlowdown* server : servers) server->Rescale(1.0 / *middle);
-  for (auto& [kind, baseline] : m_kinds) baseline.log_time += std::log(*middle);
+  std::nth_element(slowdowns.begin(), median, slowdowns.end());
+  for (ServerSlowdown* server : servers) server->Rescale(1.0 / *median);
+  for (auto& [kind, baseline] : m_kinds) baseline.log_time += std::log(*median);
 }
 
 void SlowdownBaseline::Forget(Time before) {
--- a/src/yuccawick/pressure/memory_budget.cc
+++ b/src/yuccawick/pressure/memory_budget.cc
@@ -71,12 +71,13 @@
 }
 
 bool MemoryBudget::Update(Time now) {
-  const PressureLevel next = LevelNow();
-  if (next >= m_level)
-    m_level_time = next == PressureLevel::kCalm ? m_level_time : now;
-  const bool is_held = next < m_level && now - m_level_time < m_settings.hold;
-  if (next == m_level || is_held) return false;
-  m_level = next;
+  const PressureLevel new_level = LevelNow();
+  if (new_level >= m_level)
+    m_level_time = new_level == PressureLevel::kCalm ? m_level_time : now;
+  const bool is_held =
+      new_level < m_level && now - m_level_time < m_settings.hold;
+  if (new_level == m_level || is_held) return false;
+  m_level = new_level;
   return true;
 }
 
@@ -94,13 +95,13 @@
 
 std::size_t ChooseClientToDrop(const std::vector<ClientBuffer>& clients,
                                Duration                         stall_timeout) {
-  std::size_t drop = kNoClient;
+  std::size_t chosen = kNoClient;
   for (std::size_t i = 0; i < clients.size(); ++i) {
     if (clients[i].waiting == 0 || clients[i].stalled < stall_timeout) continue;
-    if (drop == kNoClient || clients[i].waiting > clients[drop].waiting)
-      drop = i;
+    if (chosen == kNoClient || clients[i].waiting > clients[chosen].waiting)
+      chosen = i;
   }
-  return drop;
+  return chosen;
 }
 
 }  // namespace yuccawick::pressure
--- a/src/yuccawick/traffic/attempt.h
+++ b/src/yuccawick/traffic/attempt.h
@@ -9,7 +9,7 @@
 //   broken, bad answer  the request may have run
 //
 // The client is told that the request did not run only in the first two cases,
-// and only if no earlier send of the same attempt is in doubt.
+// and only if no earlier send of the same attempt may have run.
 #pragma once
 
 #include <cstdint>
@@ -51,7 +51,7 @@
 
 struct SendFailure {
   SendFailureCause cause = SendFailureCause::kBroken;
-  int              servers_sent = 0;      // distinct servers it was sent to
+  int              servers_sent = 0;      // distinct servers tried
   int              repeats = 0;           // sends after the first
   bool             in_doubt = false;      // an earlier send may have run
   bool             answering = false;     // part of the response was sent
@@ -63,17 +63,17 @@
   kOtherServer,  // send the whole request to another server
   kSameServer,  // resend to the same server on a new connection; resume if part
                 // of the response was passed on
-  kRefuse,      // tell the client that it did not run, with a retry delay
-  kFail,        // report a failure; it may have run
+  kRefuse,  // tell the client that the request did not run, with a retry delay
+  kFail,    // report a failure; the request may have run
   kCutOff,  // close the connection so that the response is visibly incomplete
 };
 std::string_view Name(NextStep step);
 
 NextStep DecideNextStep(const Route& route, const SendFailure& failure);
 
-// Maximum sends after the first for one attempt, whatever the route allows.
+// Maximum number of sends after the first one of an attempt, on any route.
 inline constexpr int      kMaxRepeats = 3;
-// With less time left than this, in ms, a repeat could not complete.
+// Minimum time left, in ms, in which a repeat can complete.
 inline constexpr Duration kMinTimeToRepeat = 20;
 
 }  // namespace yuccawick::traffic
--- a/src/yuccawick/traffic/concurrency_limit.h
+++ b/src/yuccawick/traffic/concurrency_limit.h
@@ -1,5 +1,5 @@
-// Limits the turns that a node runs at the model servers, and orders those that
-// wait.
+// Limits the turns that a node runs at the model servers, and orders the turns
+// that wait.
 //
 // In a burst above capacity, a model server serves as many turns as it has
 // slots and queues the rest first come, first served. All turns wait alike,
@@ -7,10 +7,10 @@
 // deadline. Turns therefore wait here, where the order can still be chosen.
 //
 // ConcurrencyLimit adapts the number of running turns to the observed time to
-// first event. The limit engages when first events take too long for the
-// objective set by the operator, and then shrinks or grows to hold them well
-// within it. Nodes need not exchange anything, because all of them observe the
-// same slow servers. While first events are in time, there is no limit.
+// first event. The limit engages when that time is too long for the objective
+// set by the operator, and then shrinks or grows to keep the time well below
+// the objective. Nodes need not exchange anything, because all of them observe
+// the same slow servers. While first events arrive in time, there is no limit.
 //
 // QueueRank() orders the waiting turns. The rank is a hash of the program id,
 // the same on every node and for all turns of a program, so that capacity goes
@@ -34,11 +34,13 @@
 struct ConcurrencyLimitSettings {
   // Ratios of time to first event to its objective: the limit engages above
   // `engage` and then steers towards `target`. An `engage` of 0 turns it off.
-  // The limit helps in bursts far above capacity, but does harm where programs
-  // have time to share a shorter wait, so the operator decides.
+  // The limit helps in bursts far above capacity. It does harm in smaller ones,
+  // in which all programs could wait a little and still finish in time, so the
+  // operator decides.
   double   engage = 0;
   double   target = 0.6;
-  // Between two changes of the limit; a change takes about as long to show.
+  // Time between two changes of the limit; about the time after which a change
+  // takes effect.
   Duration pause = 150;
   double   least = 2;  // minimum limit, in turns
 };
@@ -60,7 +62,7 @@
  private:
   struct Sample {
     Time   at = 0;
-    double share = 0;  // of the objective
+    double share = 0;  // time to first event, as a share of its objective
   };
   void                  Adapt(int under_way, Time now);
   std::optional<double> Median() const;
--- a/src/yuccawick/traffic/directory.cc
+++ b/src/yuccawick/traffic/directory.cc
@@ -6,9 +6,9 @@
 
 void Directory::Put(const BackendServer& server) {
   m_delayed_removals.erase(server.entry);
-  auto& known = m_servers[server.entry];
-  if (known == server) return;
-  known = server;
+  auto& stored_server = m_servers[server.entry];
+  if (stored_server == server) return;
+  stored_server = server;
   m_changed = true;
 }
 
--- a/src/yuccawick/traffic/directory.h
+++ b/src/yuccawick/traffic/directory.h
@@ -20,8 +20,8 @@
 using net::Duration;
 using net::Time;
 
-// Within this time after an outage, running servers register again; an entry
-// still absent then is removed.
+// Time after an outage within which running servers register again. Entries
+// that are still absent afterwards are removed.
 inline constexpr Duration kRecoveryGrace = 2000;  // ms
 
 // A server may restart under the same entry, with no state from before. State
@@ -45,10 +45,10 @@
 class Directory {
  public:
   void          Put(const BackendServer& server);
-  // Removes an entry; delayed within the grace period of an outage.
+  // Removes an entry; delayed during an outage and its grace period.
   void          Remove(const std::string& entry, Time now);
-  // Removes an entry at once: it exists, but its value does not describe a
-  // server.
+  // Removes at once an entry that exists in discovery, but whose value does not
+  // describe a server.
   void          Drop(const std::string& entry);
   // Applies a complete listing; absent entries are removed.
   void          ReplaceAll(const ServerList& servers, Time now);
--- a/src/yuccawick/traffic/event_stream.h
+++ b/src/yuccawick/traffic/event_stream.h
@@ -10,7 +10,7 @@
 namespace yuccawick::traffic {
 
 struct StreamEvent {
-  std::string_view bytes;  // as received, with its blank line
+  std::string_view bytes;  // as received, including the blank line
   std::string_view id;     // empty if absent
   std::string      data;   // data lines, joined by line feeds
 };
--- a/src/yuccawick/traffic/manifest.cc
+++ b/src/yuccawick/traffic/manifest.cc
@@ -37,7 +37,8 @@
     HostRoutes& host = m_by_host[route.host];
     // If two routes have the same prefix, the first one wins.
     host.by_prefix.emplace(route.path_prefix, &route);
-    host.longest = std::max(host.longest, route.path_prefix.size());
+    host.max_prefix_bytes =
+        std::max(host.max_prefix_bytes, route.path_prefix.size());
   }
 }
 
@@ -48,7 +49,7 @@
   const HostRoutes& host_routes = found->second;
   // Longer prefixes cannot match. Cutting them off bounds the lookups for a
   // path of thousands of slashes.
-  std::string_view  prefix = path.substr(0, host_routes.longest);
+  std::string_view  prefix = path.substr(0, host_routes.max_prefix_bytes);
   for (auto slash = prefix.rfind('/'); slash != std::string_view::npos;
        slash = prefix.rfind('/')) {
     const auto route = host_routes.by_prefix.find(prefix.substr(0, slash + 1));
--- a/src/yuccawick/traffic/manifest.h
+++ b/src/yuccawick/traffic/manifest.h
@@ -33,7 +33,7 @@
 
 struct WeightedService {
   std::string  service;
-  std::int64_t weight = 1;  // relative to the others of the route
+  std::int64_t weight = 1;  // relative to the route's other services
 };
 
 struct Route {
@@ -51,7 +51,7 @@
   bool                         prefix_affinity = false;
   bool                         keeps_turns = false;  // history is stored
   Duration                     retention = 0;        // ms that a turn is kept
-  bool                         is_public = false;    // no key, no workspace
+  bool is_public = false;  // without keys and workspaces
 
   bool Repeatable() const {
     return kind == RequestKind::kSafe ||
@@ -105,7 +105,7 @@
   struct HostRoutes {
     // Keys are owned by the manifest.
     std::unordered_map<std::string_view, const Route*> by_prefix;
-    std::size_t longest = 0;  // longest prefix, in bytes
+    std::size_t max_prefix_bytes = 0;  // longest prefix, in bytes
   };
   ManifestPtr                                    m_manifest;
   std::map<std::string, HostRoutes, std::less<>> m_by_host;
--- a/src/yuccawick/traffic/outcomes.h
+++ b/src/yuccawick/traffic/outcomes.h
@@ -19,8 +19,8 @@
   OutcomeCounts& operator+=(const OutcomeCounts& other);
 };
 
-// Covers several answers of each server, and lets a repaired server be tried
-// again within seconds.
+// Half-life of the counts. Long enough to cover several answers of a server,
+// short enough that a repaired server is tried again within seconds.
 inline constexpr Duration kOutcomeHalfLife = 1000;  // ms
 
 class Outcomes {
--- a/src/yuccawick/traffic/placement.h
+++ b/src/yuccawick/traffic/placement.h
@@ -1,6 +1,6 @@
 // Chooses the backend server for a request.
 //
-// A strategy gets candidates with what is known of their load, and returns one.
+// A strategy receives candidates with their known load and returns one of them.
 // Strategies have no state and no clock, so they are tested with tables of
 // candidates.
 //
@@ -55,7 +55,8 @@
   // and maximum. A long prompt slows down all requests that run beside it.
   double cold_prefix = 0.15;
   double cold_per_1000 = 0.06;
-  // Cost of the memory that a second copy takes, per slot's share of memory.
+  // Cost of the memory of a second copy of the prompt, multiplied by
+  // Candidate::memory_part.
   // Where memory is short, the copy evicts the prompt of another program, which
   // must then be recomputed.
   double cold_memory = 1.7;
@@ -75,13 +76,13 @@
 // Limits the servers that are considered for one request.
 struct Sampling {
   double       share = 0.34;  // probability of each candidate
-  std::int64_t few = 16;      // up to this many are all considered
-  std::int64_t most = 128;    // upper bound for large services
+  std::int64_t few = 16;    // up to this number, all candidates are considered
+  std::int64_t most = 128;  // upper bound for large services
 };
 
 // Removes candidates at random, but keeps the one that holds the prefix.
-// Reports of peer load are older than a turn takes to start: if all nodes
-// considered all servers, they would choose the same idle one and fill it
+// Reports of peer load arrive less often than turns start: if all nodes
+// considered all servers, they would choose the same idle server and fill it
 // before the next report.
 void SampleCandidates(std::vector<Candidate>* candidates,
                       const Sampling& sampling, std::mt19937_64* random);
--- a/src/yuccawick/traffic/request.h
+++ b/src/yuccawick/traffic/request.h
@@ -32,11 +32,11 @@
 };
 
 struct AnswerInfo {
-  std::string             attempt;  // that it answers; empty: not stated
-  bool                    stamped = false;  // has the server's signature
-  bool                    not_run = false;  // server states it did not run
-  bool                    encoded = false;  // has an unrequested encoding
-  bool                    event_stream = false;
+  std::string attempt;          // id of the answered attempt; empty: not stated
+  bool        stamped = false;  // has the server's signature
+  bool        not_run = false;  // server states it did not run
+  bool        encoded = false;  // has an unrequested encoding
+  bool        event_stream = false;
   std::optional<Duration> retry_after;  // ms
 };
 
--- a/src/yuccawick/traffic/server_pool.h
+++ b/src/yuccawick/traffic/server_pool.h
@@ -26,9 +26,10 @@
   // until the next call.
   std::span<const BackendServer* const> Draw(std::size_t      limit,
                                              std::mt19937_64* random);
-  // Up to `limit` servers around the program's position on the hash ring,
-  // from which PreferredServer() chooses; the same on all nodes of a zone.
-  // Adding or removing a server affects only programs near its position.
+  // Up to `limit` servers that follow the program's position on the hash ring;
+  // PreferredServer() chooses among them. All nodes of a zone get the same
+  // servers. Adding or removing a server affects only programs near its
+  // position.
   std::vector<const BackendServer*>     Around(const std::string& program,
                                                AffinityScope      scope,
                                                std::size_t        limit) const;
--- a/src/yuccawick/traffic/urgency.h
+++ b/src/yuccawick/traffic/urgency.h
@@ -3,11 +3,12 @@
 // In a burst above capacity, first come, first served lets all turns wait
 // alike, and nearly all programs miss their deadline. Turns of programs with
 // the least time left therefore go first: most of their work is done, or their
-// deadline is tight. A program past its deadline stays most urgent, or it would
-// starve while the burst lasts.
+// deadline is tight. A program past its deadline stays most urgent;
+// otherwise it would starve while the burst lasts.
 //
-// Servers have ten levels, 0 first. A route's priority adds two levels each, so
-// a program of a less urgent route goes first only with far less time left.
+// Servers have ten levels; level 0 goes first. Each step of a route's priority
+// adds two levels, so a program of a less urgent route goes first only with far
+// less time left.
 #pragma once
 
 #include <optional>
@@ -16,16 +17,16 @@
 
 namespace yuccawick::traffic {
 
-// Less time left than this, in ms, is most urgent. Each doubling is one level
-// less urgent.
+// Up to this time left, in ms, a turn has the most urgent level of its
+// priority. Each doubling of the time left makes it one level less urgent.
 inline constexpr net::Duration kMostUrgentTime = 400;
-// Levels by time left, above the first.
+// Maximum number of levels added because of the time left.
 inline constexpr int           kTimeLevels = 3;
 inline constexpr int           kLevelsPerPriority = 2;
 inline constexpr int           kLeastUrgent = 9;
 
-// `left`: ms until the deadline of the program; nullopt, if it has none, counts
-// as the longest time.
+// `left`: ms until the deadline of the program; nullopt: no deadline, which
+// counts as the longest time.
 int ComputeUrgency(int priority, std::optional<net::Duration> left);
 
 }  // namespace yuccawick::traffic
