--- a/src/yuccawick/programs/adaptive_read_size.h
+++ b/src/yuccawick/programs/adaptive_read_size.h
@@ -25,14 +25,14 @@
       : m_max_bytes(max_bytes), m_bytes(max_bytes) {}
 
   std::size_t bytes() const { return m_bytes; }
-  void        OnReply(net::Duration took) {
-           if (took > 2 * kFastReadTime) {
+  void        OnReply(net::Duration latency) {
+           if (latency > 2 * kFastReadTime) {
              OnTimeout();
-    } else if (took < kFastReadTime) {
+    } else if (latency < kFastReadTime) {
              m_bytes = std::min(2 * m_bytes, m_max_bytes);
     }
   }
-  // The read got no reply in time.
+  // Call after a read that got no reply in time.
   void OnTimeout() { m_bytes = std::max(m_bytes / 2, kMinReadBytes); }
 
  private:
--- a/src/yuccawick/programs/membership.cc
+++ b/src/yuccawick/programs/membership.cc
@@ -26,9 +26,9 @@
 
 void Membership::Put(const NodeInfo& node) {
   if (node.name == m_self.name) return;
-  auto& known = m_nodes[node.name];
-  if (known.incarnation != node.incarnation) m_suspects.erase(node.name);
-  known = node;
+  auto& stored_node = m_nodes[node.name];
+  if (stored_node.incarnation != node.incarnation) m_suspects.erase(node.name);
+  stored_node = node;
 }
 
 bool Membership::Suspect(const std::string& name, Time now) {
@@ -39,15 +39,15 @@
 }
 
 std::vector<NodeInfo> Membership::TakeDueProbes(Time now) {
-  std::vector<NodeInfo> due;
+  std::vector<NodeInfo> due_nodes;
   for (auto& [name, suspicion] : m_suspects) {
     const auto node = m_nodes.find(name);
     if (now < suspicion.probe_at || node == m_nodes.end()) continue;
     suspicion.interval = std::min(2 * suspicion.interval, kMaxProbeInterval);
     suspicion.probe_at = now + suspicion.interval;
-    due.push_back(node->second);
+    due_nodes.push_back(node->second);
   }
-  return due;
+  return due_nodes;
 }
 
 std::vector<NodeInfo> Membership::RankCoordinators(std::string_view key) const {
--- a/src/yuccawick/programs/membership.h
+++ b/src/yuccawick/programs/membership.h
@@ -4,8 +4,8 @@
 // Ranking uses weighted rendezvous hashing: nodes with the same view agree on
 // the coordinator, each coordinates a share of keys proportional to its
 // millicores, and few keys move when nodes join or leave. Nodes with different
-// views may choose different coordinators, so a coordinator only saves work;
-// decisions are made by the order of the log.
+// views may choose different coordinators. A coordinator therefore only saves
+// work: decisions depend on the order of the log alone.
 #pragma once
 
 #include <map>
@@ -61,7 +61,7 @@
   }
   const NodeInfo&       self() const { return m_self; }
   const NodeInfo*       Find(const std::string& name) const;
-  std::vector<NodeInfo> Others() const;  // without suspected nodes and self
+  std::vector<NodeInfo> Others() const;  // without self and suspected nodes
   std::vector<NodeInfo> All() const;     // without self
 
  private:
--- a/src/yuccawick/programs/scan_plan.h
+++ b/src/yuccawick/programs/scan_plan.h
@@ -28,12 +28,14 @@
   void   Begin();
   // Offset of the next read.
   Offset from() const { return m_in_gap ? m_piece_next : m_next; }
-  // The read at from() returned `records` records; `next` is the offset after
-  // them, `end` the end of the partition.
+  // Call after the read at from() returned `records` records; `next` is the
+  // offset after them, `end` the end of the partition.
   void   OnPageRead(Offset next, Offset end, Offset records);
-  // Records before `first` no longer exist. Returns true if some were not read.
+  // Call when the records before `first` no longer exist. Returns true if some
+  // of them were not read.
   bool   OnRecordsDeleted(Offset first);
-  // True if all records up to an end seen since Begin() were read.
+  // True if all records were read up to an end of the partition that was seen
+  // since Begin().
   bool   complete() const { return m_complete; }
   // True if the next read is at the end of the partition, not in the gap.
   bool   at_end() const { return !m_in_gap; }
@@ -46,19 +48,19 @@
   void OnReadInGap(Offset next);
   void BeginPiece();
 
-  Offset m_next = 0;          // all records before are read, except the gap
+  Offset m_next = 0;          // all records before it were read, except the gap
   Offset m_end = 0;           // last known end of the partition
   Offset m_page_records = 1;  // records in the last full page
   Offset m_gap_from = 0;
-  Offset m_gap_to = 0;  // records from here to m_next are read
+  Offset m_gap_to = 0;  // all records from here to m_next were read
   Offset m_piece_begin = 0;
   Offset m_piece_next = 0;
   bool   m_in_gap = false;
   bool   m_complete = false;
 };
 
-// Unread pages up to which records are read in order; each piece of a gap costs
-// an extra read at the end.
+// Maximum number of unread pages that are read in order, without a gap: each
+// piece of a gap costs an extra read at the end of the partition.
 inline constexpr Offset kMaxInOrderPages = 2;
 
 }  // namespace yuccawick::programs
--- a/src/yuccawick/programs/token_ledger.h
+++ b/src/yuccawick/programs/token_ledger.h
@@ -11,7 +11,8 @@
 //   never cause overuse. Tokens granted to a node that dies are lost; nodes
 //   therefore claim only what waiting turns need and release the rest.
 // - Grants stay within the budget plus one turn, because a program may exhaust
-//   its budget in the middle of a turn. Turns count at their maximum.
+//   its budget in the middle of a turn. A running turn counts with its maximum
+//   tokens.
 #pragma once
 
 #include <cstdint>
@@ -35,10 +36,10 @@
   Tokens        budget = 0;  // budget stated by the client, plus one turn
   Tokens        need = 0;    // minimum useful grant
   Tokens wish = 0;  // preferred grant; at most half of the remaining budget
-  // Applied without a check; `wish` is then negative: tokens released.
+  // True: applied without a check; `wish` is negative, the released tokens.
   bool   taken = false;
-  // Tokens granted earlier, as known to the claiming node. Initial value for
-  // readers that find the program's older records deleted.
+  // Tokens granted earlier, as known to the claiming node. A reader that finds
+  // the program's older records deleted starts from this value.
   Tokens before = 0;
 };
 
@@ -74,14 +75,14 @@
 
   // Tries to reserve tokens for a turn of at most `max_tokens` tokens.
   TokenAnswer Reserve(Tokens max_tokens);
-  // Whether the turn may fit once running turns end below their maximum. Check
-  // it after a claim for the turn was granted nothing.
+  // Whether the turn may fit once running turns end below their maximum. Call
+  // after a claim for the turn was granted no tokens.
   bool        MayFitLater(Tokens max_tokens) const;
-  // Returns a claim for such a turn; the caller sets `number`, `node` and
-  // `program`.
+  // Returns a claim for a turn of at most `max_tokens` tokens; the caller sets
+  // `number`, `node` and `program`.
   TokenClaim  NextClaim(Tokens max_tokens) const;
   void        OnGranted(Tokens granted);
-  // The turn ended after `used` of its tokens were sent to the client.
+  // Call when a turn ended, after `used` of its tokens were sent to the client.
   void        EndTurn(Tokens max_tokens, Tokens used);
   // Removes the available tokens from the account and returns their number.
   Tokens      ReleaseUnused();
@@ -93,7 +94,7 @@
   Tokens m_budget;
   Tokens m_granted = 0;
   Tokens m_used = 0;
-  Tokens m_reserved = 0;  // maximum of the running turns
+  Tokens m_reserved = 0;  // sum of the running turns' maximum tokens
 };
 
 // Time in ms for which an idle program's entry is kept: twice the longest
--- a/src/yuccawick/programs/turn_history.cc
+++ b/src/yuccawick/programs/turn_history.cc
@@ -28,10 +28,10 @@
 std::vector<const Turn*> TurnHistory::CollectChain(
     const std::string& id) const {
   std::vector<const Turn*> chain_turns;
-  std::set<std::string>    seen;
+  std::set<std::string>    visited;
   std::string              next = id;
   // Reused attempt ids may form a cycle of turns.
-  while (!next.empty() && seen.insert(next).second) {
+  while (!next.empty() && visited.insert(next).second) {
     const auto found = m_turns.find(next);
     if (found == m_turns.end()) break;
     chain_turns.push_back(&found->second.turn);
@@ -48,39 +48,40 @@
 PromptBuildResult TurnHistory::Build(const std::string& previous,
                                      const std::string& input, Time now,
                                      Duration retention) {
-  PromptBuildResult chain;
-  chain.missing = Missing(previous);
-  if (!chain.missing.empty()) return chain;
+  PromptBuildResult result;
+  result.missing = Missing(previous);
+  if (!result.missing.empty()) return result;
   const auto chain_turns = CollectChain(previous);
   for (auto turn = chain_turns.rbegin(); turn != chain_turns.rend(); ++turn) {
-    chain.body += (*turn)->input;
-    chain.body += (*turn)->output;
+    result.body += (*turn)->input;
+    result.body += (*turn)->output;
     auto& expires_at = m_turns[(*turn)->id].expires_at;
     expires_at = std::max(expires_at, now + retention);
   }
-  chain.body += input;
-  return chain;
+  result.body += input;
+  return result;
 }
 
 void TurnHistory::Shrink(std::size_t bytes) {
   if (m_bytes <= bytes) return;
-  std::vector<std::pair<Time, std::size_t>> by_age;
-  by_age.reserve(m_turns.size());
+  std::vector<std::pair<Time, std::size_t>> by_expiry;
+  by_expiry.reserve(m_turns.size());
   for (const auto& [id, cached] : m_turns) {
-    by_age.emplace_back(cached.expires_at, SizeOf(cached.turn));
+    by_expiry.emplace_back(cached.expires_at, SizeOf(cached.turn));
   }
-  std::sort(by_age.begin(), by_age.end());
-  std::size_t rest = m_bytes;
-  auto        last = by_age.begin();
-  while (last != by_age.end() && rest > bytes) rest -= (last++)->second;
-  Expire(std::prev(last)->first + 1);
+  std::sort(by_expiry.begin(), by_expiry.end());
+  std::size_t remaining_bytes = m_bytes;
+  auto        evicted_end = by_expiry.begin();
+  while (evicted_end != by_expiry.end() && remaining_bytes > bytes)
+    remaining_bytes -= (evicted_end++)->second;
+  Expire(std::prev(evicted_end)->first + 1);
 }
 
 void TurnHistory::Expire(Time now) {
   std::erase_if(m_turns, [this, now](const auto& entry) {
-    const bool old = entry.second.expires_at < now;
-    if (old) m_bytes -= SizeOf(entry.second.turn);
-    return old;
+    const bool is_expired = entry.second.expires_at < now;
+    if (is_expired) m_bytes -= SizeOf(entry.second.turn);
+    return is_expired;
   });
 }
 
--- a/src/yuccawick/traffic/attempt.h
+++ b/src/yuccawick/traffic/attempt.h
@@ -51,10 +51,10 @@
 
 struct SendFailure {
   SendFailureCause cause = SendFailureCause::kBroken;
-  int              servers_sent = 0;      // distinct servers tried
-  int              repeats = 0;           // sends after the first
-  bool             in_doubt = false;      // an earlier send may have run
-  bool             answering = false;     // part of the response was sent
+  int              servers_sent = 0;   // distinct servers that it was sent to
+  int              repeats = 0;        // sends after the first
+  bool             in_doubt = false;   // an earlier send may have run
+  bool             answering = false;  // part of the response was sent
   bool             other_server = false;  // an untried server is left
   Duration         left = 0;              // ms until the attempt times out
 };
--- a/src/yuccawick/traffic/placement.h
+++ b/src/yuccawick/traffic/placement.h
@@ -81,9 +81,9 @@
 };
 
 // Removes candidates at random, but keeps the one that holds the prefix.
-// Reports of peer load arrive less often than turns start: if all nodes
-// considered all servers, they would choose the same idle server and fill it
-// before the next report.
+// A report of peer load is older than the time that a turn takes to start: if
+// all nodes considered all servers, they would choose the same idle server and
+// fill it before the next report.
 void SampleCandidates(std::vector<Candidate>* candidates,
                       const Sampling& sampling, std::mt19937_64* random);
 
--- a/src/yuccawick/workspaces/key_lease.h
+++ b/src/yuccawick/workspaces/key_lease.h
@@ -3,9 +3,9 @@
 //
 // The operator revokes a key with a new manifest, and nodes must stop accepting
 // the key within a configured bound. A node that cannot read the log cannot see
-// the change, so its copy is a lease that starts when the last successful read
-// was sent. Once the lease expires, requests are refused with 503, never as an
-// unknown key.
+// the change, so it treats its copy of the keys as a lease that starts when the
+// last successful read was sent. Once the lease expires, all requests are
+// refused with 503; none is refused because of an unknown key.
 //
 // Call Holds() right before each send to a server, with the current time: a
 // process resumed after a suspension still has its old lease and loop time.
@@ -27,13 +27,13 @@
   // bound, the lease never expires.
   explicit KeyLease(std::optional<Duration> bound) : m_bound(bound) {}
 
-  // All manifests written before `as_of` are known to this node.
+  // Records that this node knows all manifests written before `as_of`.
   void Renew(Time as_of) { m_as_of = std::max(m_as_of.value_or(as_of), as_of); }
   bool Holds(Time now) const {
     return !m_bound || (m_as_of && now < *m_as_of + *m_bound - kSendMargin);
   }
   // True well before the lease expires, so that clients can be sent to other
-  // nodes in time. Does not occur while the log answers.
+  // nodes in time. Remains false while the log answers.
   bool IsExpiring(Time now) const {
     return m_bound &&
            (!m_as_of || static_cast<double>(now - *m_as_of) >
--- a/src/yuccawick/workspaces/rate_allocator.cc
+++ b/src/yuccawick/workspaces/rate_allocator.cc
@@ -59,8 +59,10 @@
   for (const auto& [hash, program] : m_programs) {
     if (now - program.last_seen >= kProgramIdleTimeout) continue;
     // A program that exceeds the typical need may still use more.
-    const double rest = *m_typical_need - static_cast<double>(program.taken);
-    m_committed += std::max(rest, kMinRemainingShare * *m_typical_need);
+    const double remaining_need =
+        *m_typical_need - static_cast<double>(program.taken);
+    m_committed +=
+        std::max(remaining_need, kMinRemainingShare * *m_typical_need);
   }
   return m_committed;
 }
@@ -135,15 +137,15 @@
   // The limit may be smaller than a typical program's need.
   const double needed =
       std::min(m_typical_need, kMaxProgramShare * Allowance(*limit, m_window));
-  double free = UncommittedTokens(request.workspace, &state, now);
+  double uncommitted = UncommittedTokens(request.workspace, &state, now);
   for (const ProgramHash program : request.waiting) {
     if (!state.programs.Knows(program)) {
-      if (free < needed) {
+      if (uncommitted < needed) {
         submitted.refused = true;
         ++state.refused_count;
         continue;
       }
-      free -= needed;
+      uncommitted -= needed;
     }
     state.programs.Observe(program, 0, now);
     submitted.may_go_on.push_back(program);
@@ -200,8 +202,9 @@
 
 void RateAllocator::TakeUnused(const std::string& workspace, State* state,
                                Time now, std::vector<RateEntry>* entries) {
-  for (const TokenPool::Batch& ended : state->pool.TakeExpired(now)) {
-    entries->push_back({workspace, -ended.tokens, ended.origin});
+  for (const TokenPool::Batch& expired_batch : state->pool.TakeExpired(now)) {
+    entries->push_back(
+        {workspace, -expired_batch.tokens, expired_batch.origin});
   }
   for (const RateEntry& unused_entry : std::exchange(state->unused, {})) {
     entries->push_back(unused_entry);
@@ -212,15 +215,17 @@
                                           State* state, const RateLimit& limit,
                                           Duration delay, Time now) const {
   const auto   pool = static_cast<double>(state->pool.Available(now));
-  const double ahead = state->demand.PerSecond(now) *
-                       (kClaimAhead + static_cast<double>(delay)) /
-                       kMillisPerSecond;
-  // At half of the target, the next claim is still in time.
-  if (pool >= 1 && pool > ahead / 2) return 0;
-  const double wanted = std::max(1.0, std::ceil(ahead - pool)) +
-                        static_cast<double>(ExtraTokens(workspace, limit, now));
+  const double expected_demand = state->demand.PerSecond(now) *
+                                 (kClaimAhead + static_cast<double>(delay)) /
+                                 kMillisPerSecond;
+  // While more than half of the expected demand is available, the next claim is
+  // still in time.
+  if (pool >= 1 && pool > expected_demand / 2) return 0;
+  const double tokens_wanted =
+      std::max(1.0, std::ceil(expected_demand - pool)) +
+      static_cast<double>(ExtraTokens(workspace, limit, now));
   return static_cast<std::int64_t>(
-      std::floor(std::min(m_ledger.Remaining(workspace, now), wanted)));
+      std::floor(std::min(m_ledger.Remaining(workspace, now), tokens_wanted)));
 }
 
 std::vector<RateEntry> RateAllocator::NextClaim(Duration delay, Time now) {
--- a/src/yuccawick/workspaces/rate_allocator.h
+++ b/src/yuccawick/workspaces/rate_allocator.h
@@ -121,8 +121,8 @@
     std::string  workspace;
     double       asked_per_second = 0;
     double       allowance = 0;  // tokens per window
-    double       left = 0;       // may still be claimed
-    std::int64_t pool = 0;       // claimed and not handed out
+    double       left = 0;       // tokens that may still be claimed
+    std::int64_t pool = 0;       // tokens claimed but not handed out
     double       need = 0;       // requests per program
     std::int64_t refused = 0;
   };
--- a/src/yuccawick/workspaces/rate_ledger.cc
+++ b/src/yuccawick/workspaces/rate_ledger.cc
@@ -24,24 +24,25 @@
 
 std::vector<Duration> MinAges(const std::vector<LoggedRate>& claims) {
   // Acknowledgement time of each claim, taken from the claimer's next claim.
-  std::unordered_map<std::int64_t, Time> acked;
+  std::unordered_map<std::int64_t, Time> acked_at;
   for (const LoggedRate& claim : claims) {
-    acked.emplace(claim.record.previous, claim.record.previous_acked);
+    acked_at.emplace(claim.record.previous, claim.record.previous_acked);
   }
   // By claimer: minimum reading of its clock when the last claim was written.
-  std::unordered_map<std::string, Time> ends;
+  std::unordered_map<std::string, Time> clock_readings;
   std::vector<Duration>                 ages(claims.size(), 0);
   for (std::size_t i = claims.size(); i-- > 0;) {
     const RateRecord& record = claims[i].record;
     // Earlier claims are at least as old as later ones.
     if (i + 1 < claims.size()) ages[i] = ages[i + 1];
-    const auto end = ends.find(record.node);
-    const auto ack = acked.find(claims[i].offset);
-    if (end != ends.end() && ack != acked.end()) {
+    const auto end = clock_readings.find(record.node);
+    const auto ack = acked_at.find(claims[i].offset);
+    if (end != clock_readings.end() && ack != acked_at.end()) {
       ages[i] = std::max(ages[i], end->second - ack->second);
     }
     Time& latest =
-        ends.try_emplace(record.node, record.sent + ages[i]).first->second;
+        clock_readings.try_emplace(record.node, record.sent + ages[i])
+            .first->second;
     latest = std::max(latest, record.sent + ages[i]);
   }
   return ages;
--- a/src/yuccawick/workspaces/rate_ledger.h
+++ b/src/yuccawick/workspaces/rate_ledger.h
@@ -8,9 +8,9 @@
 //
 // - Two nodes that coordinate the same workspace see each other's claims in the
 //   log, so together they stay within the limit.
-// - A claim counts from when it was received. If that is late, or the claimer
-//   lost its reply, the claim counts longer than necessary; less is granted,
-//   never more.
+// - A claim counts from when it was received. If it is received late, or its
+//   claimer got no reply, it counts for longer than necessary, so that less is
+//   granted, never more.
 // - Unused tokens are released by a negative entry that names the claim they
 //   came from. It reduces that claim or earlier ones of the same node.
 // - A node that starts reads the claims of the last window. Each claim carries
@@ -18,8 +18,8 @@
 //   claimer's clock; their differences give the minimum age of each claim, so a
 //   full restart does not block requests for a whole window.
 //
-// Tokens are valid for kRateTokenLifetime after their claim was sent, so claims
-// count for the window and that time.
+// Tokens are valid for kRateTokenLifetime after their claim was sent, so a
+// claim counts for the length of the window plus kRateTokenLifetime.
 #pragma once
 
 #include <cstdint>
@@ -51,7 +51,8 @@
   double   slack = 0;
 };
 
-// Requests that may be claimed within a window and kRateTokenLifetime. Uses
+// Number of requests that may be claimed within the length of the window plus
+// kRateTokenLifetime. Uses
 // a large part of the tolerated excess, because one program may use a small
 // workspace's whole limit. The rest covers requests that are sent twice.
 double Allowance(const RateLimit& limit, const RateWindow& window);
--- a/src/yuccawick/workspaces/token_pool.cc
+++ b/src/yuccawick/workspaces/token_pool.cc
@@ -15,10 +15,10 @@
 
 void TokenPool::Add(const Batch& batch) {
   if (batch.tokens <= 0) return;
-  const auto after = std::upper_bound(
+  const auto insert_position = std::upper_bound(
       m_batches.begin(), m_batches.end(), batch.until,
       [](Time until, const Batch& other) { return until < other.until; });
-  m_batches.insert(after, batch);
+  m_batches.insert(insert_position, batch);
 }
 
 TokenPool::Batch TokenPool::TakeUpTo(std::int64_t max_tokens, Time now) {
@@ -45,16 +45,16 @@
 }
 
 void RateMeter::Count(double events, Time now) {
-  const double age = static_cast<double>(now - m_at);
+  const double age = static_cast<double>(now - m_updated_at);
   m_events *= std::exp(-age / static_cast<double>(m_decay_time));
   m_events += events;
-  m_at = now;
+  m_updated_at = now;
 }
 
 double RateMeter::PerSecond(Time now) const {
   constexpr double kMillisPerSecond = 1000.0;
   const double     decay_time = static_cast<double>(m_decay_time);
-  const double     age = static_cast<double>(now - m_at);
+  const double     age = static_cast<double>(now - m_updated_at);
   return m_events * std::exp(-age / decay_time) * kMillisPerSecond / decay_time;
 }
 
--- a/src/yuccawick/workspaces/token_pool.h
+++ b/src/yuccawick/workspaces/token_pool.h
@@ -50,8 +50,8 @@
 
  private:
   Duration m_decay_time;
-  double   m_events = 0;  // decayed count as of m_at
-  Time     m_at = 0;
+  double   m_events = 0;  // decayed count as of m_updated_at
+  Time     m_updated_at = 0;
 };
 
 }  // namespace yuccawick::workspaces
