--- a/src/yuccawick/admission/route_profile.h
+++ b/src/yuccawick/admission/route_profile.h
@@ -46,8 +46,8 @@
   explicit RouteProfile(Duration think_time);
 
   // Records a program that ended with `tokens` tokens after `duration` ms.
-  // `initial_time_left`:
-  // time until its deadline at its first turn, in ms; 0 if it had none.
+  // `initial_time_left`: time until its deadline at its first turn, in ms; 0 if
+  // it had none.
   void ObserveEnd(Tokens tokens, Duration duration, Duration initial_time_left);
   void ObserveThinkTime(Duration think_time);
 
--- a/src/yuccawick/programs/turn_history.h
+++ b/src/yuccawick/programs/turn_history.h
@@ -34,8 +34,8 @@
 
 class TurnHistory {
  public:
-  // Caches the turn until at least `retention` ms after `now`. Adding a
-  // cached id again only extends that time.
+  // Caches the turn until at least `retention` ms after `now`. Adding a cached
+  // id again only extends that time.
   void Add(Turn turn, Time now, Duration retention);
   bool Holds(const std::string& id) const { return m_turns.contains(id); }
   // Whether the turn and all its ancestors are cached.
--- a/src/yuccawick/workspaces/key_lease.h
+++ b/src/yuccawick/workspaces/key_lease.h
@@ -4,8 +4,8 @@
 // The operator revokes a key with a new manifest, and nodes must stop accepting
 // the key within a configured bound. A node that cannot read the log cannot see
 // the change, so it treats its copy of the keys as a lease that starts when the
-// last successful read was sent. Once the lease expires, all requests are
-// refused with 503; none is refused because of an unknown key.
+// last successful read was sent. Once the lease expires, requests with keys
+// are refused with 503, because whether their key is valid is not certain.
 //
 // Call Holds() right before each send to a server, with the current time: a
 // process resumed after a suspension still has its old lease and loop time.
--- a/src/yuccawick/workspaces/rate_allocator.cc
+++ b/src/yuccawick/workspaces/rate_allocator.cc
@@ -24,7 +24,8 @@
 // programs.
 constexpr Duration kProjectionTime = 2000;
 // A program not reported for this time, in ms, is considered finished. Longer
-// than pauses between calls, and than a node takes to use its tokens.
+// than the pauses between calls and than the time in which a node uses its
+// tokens.
 constexpr Duration kProgramIdleTimeout = 2000;
 // Programs that end at least this long after the last refusal, in ms, were not
 // cut short by the limit.
--- a/src/yuccawick/workspaces/rate_allocator.h
+++ b/src/yuccawick/workspaces/rate_allocator.h
@@ -3,9 +3,9 @@
 //
 // When a workspace exceeds its limit, refusing requests at random would cut off
 // most of its programs midway and waste the work already done. Running programs
-// therefore receive tokens first. A new program starts only if the tokens left
-// cover its typical need and that of the running ones; the others are given
-// different retry delays.
+// therefore receive tokens first. A new program starts only if the available
+// tokens cover its typical need and the remaining need of the running programs.
+// Other new programs are refused, with different retry delays.
 //
 //   Submit()      registers a node's request and decides which programs start
 //   TryRespond()  returns the grant; nullopt: wait for the next claim
--- a/src/yuccawick/workspaces/rate_ledger.h
+++ b/src/yuccawick/workspaces/rate_ledger.h
@@ -52,9 +52,9 @@
 };
 
 // Number of requests that may be claimed within the length of the window plus
-// kRateTokenLifetime. Uses
-// a large part of the tolerated excess, because one program may use a small
-// workspace's whole limit. The rest covers requests that are sent twice.
+// kRateTokenLifetime. Uses a large part of the tolerated excess, because one
+// program may use a small workspace's whole limit. The rest covers requests
+// that are sent twice.
 double Allowance(const RateLimit& limit, const RateWindow& window);
 
 struct RateEntry {
