--- a/src/yuccawick/programs/token_ledger.cc
+++ b/src/yuccawick/programs/token_ledger.cc
@@ -10,8 +10,9 @@
   Entry& entry = found->second;
   if (added) entry.granted = claim.before;
   entry.expires_at = now + kLedgerRetention;
-  const bool first = entry.applied.emplace(claim.node, claim.number).second;
-  if (!first) return 0;
+  const bool is_new_claim =
+      entry.applied.emplace(claim.node, claim.number).second;
+  if (!is_new_claim) return 0;
   if (claim.taken) {
     // The grant being released may be unknown here; do not go below 0.
     entry.granted = std::max<Tokens>(0, entry.granted + claim.wish);
