--- a/src/yuccawick/workspaces/rate_allocator.h
+++ b/src/yuccawick/workspaces/rate_allocator.h
@@ -3,9 +3,9 @@
 //
 // When a workspace exceeds its limit, refusing requests at random would cut off
 // most of its programs midway and waste the work already done. Running programs
-// therefore receive tokens first. A new program starts only if the tokens left
-// cover its typical need and that of the running ones; the others are given
-// different retry delays.
+// therefore receive tokens first. A new program starts only if the available
+// tokens cover its typical need and the remaining need of the running programs.
+// Other new programs are refused, with different retry delays.
 //
 //   Submit()      registers a node's request and decides which programs start
 //   TryRespond()  returns the grant; nullopt: wait for the next claim
@@ -121,8 +121,8 @@
     std::string  workspace;
     double       asked_per_second = 0;
     double       allowance = 0;  // tokens per window
-    double       left = 0;       // may still be claimed
-    std::int64_t pool = 0;       // claimed and not handed out
+    double       left = 0;       // tokens that may still be claimed
+    std::int64_t pool = 0;       // tokens claimed but not handed out
     double       need = 0;       // requests per program
     std::int64_t refused = 0;
   };
