--- a/src/yuccawick/gateway/appender.h
+++ b/src/yuccawick/gateway/appender.h
@@ -5,8 +5,8 @@
 //
 // Appends are numbered. An append without an answer is retried with the same
 // number, so the log stores its records once and every `done` is called even
-// after a long outage. The first retry comes after a few usual latencies: a
-// lost answer does not cost a whole timeout.
+// after a long outage. The first retry follows after a few times the usual
+// latency, so that a lost answer does not cost a whole timeout.
 #pragma once
 
 #include <functional>
@@ -33,7 +33,7 @@
   // log permanently refuses the record. A record whose `wanted` returns false
   // before it is sent is dropped without a call of `done`.
   void Add(std::string record, Done done, Wanted wanted = {});
-  // An append is in flight or waits for a retry.
+  // Whether an append is in flight or waits for a retry.
   bool busy() const { return m_busy; }
 
  private:
--- a/src/yuccawick/gateway/client_connection.h
+++ b/src/yuccawick/gateway/client_connection.h
@@ -3,8 +3,8 @@
 //
 // Memory per connection is bounded: a body is accepted only within the limit of
 // the manifest and the node's memory budget, and nothing is read while an
-// exchange is running or its answer is still unsent. The end of the connection
-// is detected in these states too.
+// exchange is running or its answer is still unsent. Even then, the end of the
+// connection is detected.
 #pragma once
 
 #include <functional>
@@ -64,7 +64,7 @@
   // Reserves memory for the body; false if the node's budget is used up.
   bool ReserveBodyMemory(std::size_t body_bytes);
   void RejectForMemory();
-  // Answers input that is no valid request, and closes the connection.
+  // Answers input that is not a valid request, and closes the connection.
   void Refuse(traffic::Refusal refusal);
   void RestartTimer();
   void OnTimeout();
--- a/src/yuccawick/gateway/follower.h
+++ b/src/yuccawick/gateway/follower.h
@@ -1,9 +1,9 @@
 // Follows the manifest, the list of backend servers and the list of nodes in
 // the platform's log; runs on the control thread.
 //
-// Each topic is listed once, then followed from that offset. A topic whose
-// records have expired is listed again. The manifest never reverts to an older
-// version during the life of the process.
+// Each topic is listed once, then followed from the offset of the listing. If
+// the next records have expired, the topic is listed again. The manifest never
+// reverts to an older version during the life of the process.
 #pragma once
 
 #include <cstdint>
--- a/src/yuccawick/gateway/gateway.h
+++ b/src/yuccawick/gateway/gateway.h
@@ -42,8 +42,8 @@
     return m_routes;
   }
   traffic::ClientLimits Limits() const override;
-  // Also while this node is isolated or low on memory: the balancer directs the
-  // client's next connection to another node.
+  // True during shutdown, and while this node is isolated or low on memory: the
+  // balancer then directs the client's next connection to another node.
   bool                  Closing() const override {
     return m_closing || ShouldYieldClients() || IsMemoryLow();
   }
@@ -73,9 +73,9 @@
       const std::string& workspace) const;
   // 0 if the workspace has no priority of its own.
   int  PriorityFor(const std::string& workspace) const;
-  // This node is isolated, or its key lease is about to expire while other
-  // nodes reach the log. Clients that stayed connected would be refused until
-  // this node reaches the log again.
+  // Whether clients should move to other nodes: this node is isolated, or its
+  // key lease is about to expire while other nodes reach the log. Clients that
+  // stayed connected would be refused until this node reaches the log again.
   bool ShouldYieldClients() const;
   bool IsMemoryLow() const {
     return m_memory->level() != pressure::PressureLevel::kCalm;
--- a/src/yuccawick/gateway/peer_network.h
+++ b/src/yuccawick/gateway/peer_network.h
@@ -5,9 +5,10 @@
 // connection. Cap'n Proto RPC is not used because its event loop cannot share a
 // thread with net::EventLoop.
 //
-// Every request ends with a response, with nothing when the connection fails,
-// or with nothing after its timeout. A peer that breaks a connection or lets a
-// request time out is suspected, see programs/membership.h.
+// The callback of a request is called once: with the response, or with nothing
+// if the connection fails or the timeout passes. A peer that breaks a
+// connection or lets a request time out is suspected, see
+// programs/membership.h.
 #pragma once
 
 #include <functional>
@@ -42,7 +43,7 @@
   class MessageHandler {
    public:
     virtual ~MessageHandler() = default;
-    // `reply` may be called at most once, also after this call returns.
+    // `reply` may be called at most once, during this call or later.
     virtual void OnMessage(ConnectionId connection, const std::string& node,
                            PeerMessage::Reader message, Reply reply) = 0;
     virtual void OnConnectionClosed(ConnectionId connection) = 0;
--- a/src/yuccawick/gateway/peer_service.h
+++ b/src/yuccawick/gateway/peer_service.h
@@ -53,19 +53,20 @@
   std::vector<programs::NodeInfo> RankCoordinators(
       const std::string& key) const;
   // Sends the load of servers to the nodes of this zone, a log outage to all
-  // nodes, and capacity usage and charges to the other coordinators. Also
-  // probes suspected nodes. Call often.
+  // nodes, and capacity usage and charges to the other coordinators. Probes
+  // suspected nodes. Call often.
   void     SendReports();
   // The longest current log outage, in ms: of all turn partitions, or of any
   // one claim partition; 0: none.
   Duration LongestOutage() const;
-  // Whether reads of the manifest, which every node repeats, succeed.
+  // Sets whether this node's periodic reads of the manifest succeed.
   void     SetLogReachable(bool reachable) { m_log_reachable = reachable; }
   bool     FollowsManifest() const { return m_log_reachable; }
   // Whether neither the log nor most nodes have been reachable for a while;
   // clients are then better served by other nodes.
   bool     IsIsolated() const;
-  // Whether some other node has not reported the log unavailable.
+  // Whether there is another node that may reach the log: it has not reported
+  // the log unavailable lately.
   bool     OthersReachLog() const { return m_peer_turns.AnyReachesLog(); }
 
   void OnMessage(PeerNetwork::ConnectionId connection, const std::string& node,
--- a/src/yuccawick/gateway/peer_turns.h
+++ b/src/yuccawick/gateway/peer_turns.h
@@ -35,9 +35,10 @@
   bool AnyReachesLog() const override { return !NodesReachingLog().empty(); }
   void AppendFor(const programs::Turn& turn, Duration retention,
                  std::size_t attempt, AppendDone done) override;
-  // The node reported the log unavailable, or could not append.
+  // Call when the node reported the log unavailable or could not append.
   void MarkLogUnavailable(const std::string& node);
-  // Whether it did so within `outage_memory`.
+  // Whether MarkLogUnavailable() was called for the node in the last
+  // `outage_memory` ms.
   bool ReportedLogUnavailable(const std::string& node) const;
 
   void ServePersist(PeerMessage::Reader       message,
@@ -53,8 +54,8 @@
                      const PeerNetwork::Reply& reply);
   // Nodes that have not reported the log unavailable lately.
   std::vector<programs::NodeInfo> NodesReachingLog() const;
-  // Chooses up to two of these nodes, one of this zone and one of another; a
-  // different pair at each attempt.
+  // Chooses up to two of NodesReachingLog(), one in this zone and one in
+  // another; each `attempt` (from 0) selects a different pair.
   std::vector<programs::NodeInfo> ChooseRelays(std::size_t attempt) const;
 
   net::EventLoop*                       m_loop;
--- a/src/yuccawick/gateway/rate_limiter.h
+++ b/src/yuccawick/gateway/rate_limiter.h
@@ -94,7 +94,7 @@
                                     RateLimitResult* result);
   workspaces::RateRequest BuildRequest(const std::string& workspace,
                                        WorkspaceState*    state) const;
-  // Requests tokens if anyone waits, or ahead of need while they are plenty.
+  // Requests tokens if requests wait, or in advance while tokens are plenty.
   void                    RequestMore(const std::string& workspace);
   void RequestFromRank(const workspaces::RateRequest& request, std::size_t rank,
                        Time requested_at);
@@ -106,7 +106,7 @@
   void ScheduleRequest(const std::string& workspace, Duration delay);
   // Admits waiting requests with local tokens.
   void ServeWaiting(const std::string& workspace);
-  // Refuses the requests that would wait too long.
+  // Refuses the waiting requests that would wait too long.
   void RefuseWaiting(const std::string& workspace, RateLimitOutcome outcome,
                      const workspaces::RateResponse& response);
   RateCoordinator& CoordinatorFor(const std::string& workspace);
--- a/src/yuccawick/gateway/token_coordinator.h
+++ b/src/yuccawick/gateway/token_coordinator.h
@@ -72,8 +72,9 @@
 
   // Calls `done` once, within `home_answer` ms.
   void        Reserve(const TurnBudget& turn, Done done);
-  // The turn ended after `used` tokens reached the client. `server`: the server
-  // that ran it and has its prompt cached; empty: unknown.
+  // Call when a turn has ended. `used`: tokens that reached the client.
+  // `server`: the server that ran the turn and has its prompt cached; empty:
+  // unknown.
   void        EndTurn(const TurnBudget& turn, programs::Tokens used,
                       const std::string& server = {});
   // The server that ran the program's last turn; empty: unknown.
@@ -111,8 +112,9 @@
 
   // Completes the requests that can be decided, then balances the account.
   void Serve(const std::string& program);
-  // Admits the request, once and only when the claims are known, which tell
-  // whether its program is new; returns false if it is refused.
+  // Admits the request unless it has been admitted before. Waits until the
+  // claims have been read, since they tell whether the program is new. Returns
+  // false if the request is refused.
   bool Admit(Account* account, PendingRequest* request);
   void CancelAdmission(const PendingRequest& request);
   std::optional<ReserveOutcome> Decide(Account*              account,
--- a/src/yuccawick/gateway/turn_dispatcher.h
+++ b/src/yuccawick/gateway/turn_dispatcher.h
@@ -4,7 +4,7 @@
 //
 //   Enqueue(...)    calls `start` once the turn may be sent, possibly at once
 //   FirstEvent(id)  the server sent the first event of the turn
-//   Release(&id)    the turn ended, or gave up waiting
+//   Release(&id)    the turn ended, or no longer waits to start
 #pragma once
 
 #include <cstdint>
--- a/src/yuccawick/gateway/turn_reader.h
+++ b/src/yuccawick/gateway/turn_reader.h
@@ -8,10 +8,10 @@
 //
 // A scan is complete if it reached the end of the partition and skipped no
 // deleted record that clients may still name. Only a complete scan proves that
-// a turn does not exist. Absence from memory does not: turns are evicted after
-// the retention of their routes, which may change, and later turns may continue
-// from them. The positions of turns are remembered for as long as the log
-// stores them.
+// a turn does not exist. Absence from memory does not prove it: a turn is
+// evicted after the retention of its route, which may change, and later turns
+// may continue from an evicted turn. The position of a turn is remembered for
+// as long as the log stores the turn.
 #pragma once
 
 #include <cstdint>
@@ -48,8 +48,8 @@
              platform::RecordLog* store, Log* log,
              programs::TurnHistory* history);
 
-  // Calls `done` with whether the scan was complete; earlier, with false, once
-  // the turn `wanted` is in memory.
+  // Calls `done` at the end of the scan with whether the scan was complete, or
+  // earlier, with false, as soon as the turn `wanted` is in memory.
   using ScanDone = std::function<void(bool)>;
   void Scan(int partition, ScanDone done, std::string wanted = {});
   // Whether the turn was read before, so that Fetch() can find it.
@@ -82,7 +82,7 @@
     programs::ScanPlan         plan;
     std::int64_t               probed_end = 0;    // end offset seen by probes
     std::size_t                records_read = 0;  // records read by this scan
-    Time complete_after = 0;  // scans are incomplete before this
+    Time complete_after = 0;  // scans before this time are incomplete
     bool busy = false;
     bool probing = false;
     std::vector<ScanRequest> served;
@@ -111,7 +111,7 @@
   void ServeWaiting(ScanState* scan);
   void CompleteFound(ScanState* scan);
   void ProbePartition(int partition);
-  // `is_retry`: this read repeats one that failed at once.
+  // `is_retry`: this read repeats a read that failed immediately.
   void ReadNextPage(int partition, bool is_retry = false);
   void ApplyPage(int partition, const platform::ReadPage& page);
   void SkipTo(int partition, std::int64_t from, std::int64_t first);
--- a/src/yuccawick/gateway/turn_store.h
+++ b/src/yuccawick/gateway/turn_store.h
@@ -4,15 +4,17 @@
 //   Find()     searches memory, then scans the log, starting after the call.
 //              Two nodes of each zone read a partition for the others: if every
 //              node read all partitions after a restart or an outage, the log
-//              would stay overloaded for longer than the outage lasted. A turn
-//              is unknown only if complete scans of all partitions, see
-//              turn_reader.h, did not find it. If the log is unavailable, the
-//              memory of other nodes is searched; a miss there proves nothing.
+//              would stay overloaded for longer than the outage lasted. The
+//              outcome is kUnknown only if complete scans (see turn_reader.h)
+//              of all partitions did not find the turn. If the log is
+//              unavailable, the memory of other nodes is searched; not finding
+//              the turn there yields kUnsure, not kUnknown.
 //   Persist()  appends a finished turn before the client receives the end of
-//              its response: to the partition of its program, to another one
-//              if that is unavailable, or through a node that can reach the
-//              log. If no node can, the end waits. Otherwise a loss of power
-//              on all nodes would lose a turn that its client has in full.
+//              its response: to the partition of its program, to another
+//              partition if that one is unavailable, or through another node
+//              that can reach the log. While no node can reach it, the end of
+//              the response is held back. Otherwise a loss of power on all
+//              nodes would lose a turn that its client has received in full.
 #pragma once
 
 #include <cstdint>
@@ -29,7 +31,7 @@
 
 namespace yuccawick::gateway {
 
-// Retries at a reader that is still reading, before the next one is tried.
+// Retries at a reader that is still reading, before the next reader is tried.
 inline constexpr int         kReaderRetries = 5;
 // Nodes of a zone that read a partition for it; the second takes over if the
 // first is unreachable or cannot reach the log. The bound keeps all nodes from
@@ -41,7 +43,7 @@
 enum class FindOutcome : std::uint8_t {
   kFound,
   kUnknown,  // proven not to exist
-  kUnsure,   // the log is unavailable, and no peer holds it
+  kUnsure,   // the log is unavailable, and no peer has the turn in memory
 };
 
 // Position of a turn in the log.
@@ -71,10 +73,11 @@
   virtual ReaderLocation RequestLookup(
       int partition, const std::string& id, std::size_t rank,
       std::function<void(const Lookup&)> done) = 0;
-  // Whether some other node has not reported the log unavailable.
+  // Whether there is another node that may reach the log: it has not reported
+  // the log unavailable lately.
   virtual bool AnyReachesLog() const = 0;
-  // Has such nodes append the turn, different ones at each `attempt` from 0 on;
-  // `done` receives nothing if none succeeds.
+  // Asks other nodes that may reach the log to append the turn; each `attempt`
+  // (from 0) selects different nodes. `done` receives nothing if all fail.
   using AppendDone = std::function<void(std::optional<LogPosition>)>;
   virtual void AppendFor(const programs::Turn& turn, Duration retention,
                          std::size_t attempt, AppendDone done) = 0;
@@ -102,7 +105,7 @@
   // acknowledge it within `relay_answer` ms.
   void PersistForPeer(const programs::Turn& turn, Duration retention,
                       TurnPeers::AppendDone done);
-  // Whether a turn that ends now could be persisted, by this node or another.
+  // Whether this node or another could persist a turn that ends now.
   bool CanPersist() const;
 
   TurnReader&            reader() { return m_reader; }
@@ -131,8 +134,9 @@
   };
   using PendingPersistPtr = std::shared_ptr<PendingPersist>;
 
-  // Searches for the nearest missing turn of the chain, then for the next one:
-  // turns of one chain may lie in different partitions.
+  // Searches for the nearest missing turn of the chain, then for its nearest
+  // missing ancestor, because turns of one chain may lie in different
+  // partitions.
   void Search(const FindRequest& request);
   void SearchOwnPartition(const FindRequest& request,
                           const std::string& missing);
@@ -154,7 +158,8 @@
   void OnLookup(const PartitionSearch& search, const TurnPeers::Lookup& lookup);
   void ScanHere(const PartitionSearch& search);
   void AddTurns(const std::vector<programs::Turn>& turns);
-  // The first partition from `first` on that is not known to be unavailable.
+  // The first partition, starting at `first`, that is not known to be
+  // unavailable.
   int  ChoosePartition(int first) const;
   // Appends all records of a turn; `done` receives the position of the first,
   // or nothing if the log refused one.
