--- a/src/yuccawick/gateway/appender.cc
+++ b/src/yuccawick/gateway/appender.cc
@@ -11,7 +11,7 @@
 using platform::StoreFailure;
 
 constexpr std::size_t kMaxBatchBytes = 1UL << 20;  // bytes
-// The first timeout, in average latencies.
+// The first timeout, as a multiple of the average latency.
 constexpr Duration    kTimeoutFactor = 4;
 constexpr Duration    kSmoothingWeight = 4;  // weight of the old average
 
@@ -78,9 +78,9 @@
 void Appender::OnResult(const Result& result) {
   if (result) {
     m_health->Observe(true, "append");
-    const Duration took = m_loop->now() - m_sent_at;
+    const Duration elapsed = m_loop->now() - m_sent_at;
     m_mean_latency =
-        (kSmoothingWeight * m_mean_latency + took) / (kSmoothingWeight + 1);
+        (kSmoothingWeight * m_mean_latency + elapsed) / (kSmoothingWeight + 1);
   } else if (result.error().failure == StoreFailure::kRefused) {
     OnRefused(result.error());
     return;
@@ -94,10 +94,10 @@
     m_busy = false;
     Pump();
   });
-  Result own = result;
+  Result record_result = result;
   for (const Item& item : completed) {
-    item.done(own);
-    ++own->offset;
+    item.done(record_result);
+    ++record_result->offset;
   }
 }
 
@@ -115,11 +115,11 @@
   // A timeout below log_timeout does not yet mean that the log is unavailable.
   const bool     waited_long = m_timeout >= m_thresholds->log_timeout;
   const bool     no_answer = error.failure == StoreFailure::kUnknown;
-  const Duration took = m_loop->now() - m_sent_at;
+  const Duration elapsed = m_loop->now() - m_sent_at;
   // Without a lower bound, a log that resets connections at once would be
   // called in a tight loop.
   const Duration pause =
-      no_answer ? m_timeout - took : m_thresholds->log_away_pause;
+      no_answer ? m_timeout - elapsed : m_thresholds->log_away_pause;
   if (waited_long || !no_answer) m_health->Observe(false, "append");
   m_timeout = std::min(2 * m_timeout, m_thresholds->log_timeout);
   DropUnwanted();
--- a/src/yuccawick/gateway/backends.cc
+++ b/src/yuccawick/gateway/backends.cc
@@ -68,7 +68,7 @@
 
 bool BackendConnection::reusable() const {
   // After an answer that precedes the end of the request, the server would
-  // parse the rest of the request as the next one.
+  // parse the rest of the request as the next request.
   return m_answer_complete && m_keep_alive && m_in_sync && m_stream.is_open() &&
          m_stream.pending() == 0 && m_max_idle_time > 0;
 }
@@ -316,7 +316,7 @@
   }
   const auto scope = traffic::ChooseAffinityScope(
       prompt.tokens, prompt.memory_part, m_thresholds->placement);
-  std::vector<traffic::Candidate> all;
+  std::vector<traffic::Candidate> all_candidates;
   std::vector<traffic::Candidate> fast;
   for (const auto* server :
        servers.pool.Around(prompt.program, scope, kAffinityCandidates)) {
@@ -325,11 +325,11 @@
     traffic::Candidate candidate;
     candidate.server = server;
     candidate.same_zone = server->zone == m_zone;
-    all.push_back(candidate);
+    all_candidates.push_back(candidate);
     if (!state->slowdown.slow()) fast.push_back(candidate);
   }
-  return traffic::PreferredServer(prompt.program, fast.empty() ? all : fast,
-                                  scope);
+  return traffic::PreferredServer(prompt.program,
+                                  fast.empty() ? all_candidates : fast, scope);
 }
 
 void Backends::FillObservations(const State&        state,
@@ -465,15 +465,15 @@
 }
 
 void Backends::ObserveServiceTime(const std::string& id, std::string_view kind,
-                                  double took) {
+                                  double service_time) {
   const auto found = m_servers.find(id);
   if (found == m_servers.end()) return;
   State&     state = found->second;
   const auto service = m_services.find(state.server.service);
   if (service == m_services.end()) return;
   const Time now = m_loop->now();
-  const auto seen =
-      service->second.baseline.Compare(kind, took, state.slowdown.At(now), now);
+  const auto seen = service->second.baseline.Compare(
+      kind, service_time, state.slowdown.At(now), now);
   if (seen) state.slowdown.Observe(*seen, now);
 }
 
@@ -550,9 +550,9 @@
 void Backends::SetPeerReport(const std::string&   peer,
                              const ServerReports& reports) {
   const Time  now = m_loop->now();
-  PeerReport& known = m_peers[peer];
-  SubtractFromTotals(known.reports);
-  known = {reports, now};
+  PeerReport& stored_report = m_peers[peer];
+  SubtractFromTotals(stored_report.reports);
+  stored_report = {reports, now};
   AddToTotals(reports);
   for (const auto& [id, report] : reports) {
     const auto found = m_servers.find(id);
--- a/src/yuccawick/gateway/backends.h
+++ b/src/yuccawick/gateway/backends.h
@@ -108,13 +108,13 @@
   struct Choice {
     traffic::BackendServer server;
     double                 load = 0;           // requests per slot
-    double                 failure_share = 0;  // of its recent answers
+    double                 failure_share = 0;  // of the recent answers
     double                 slowdown = 1;       // 1: median of the service
   };
   // Identifies the part of a request that a server may have cached.
   struct Prompt {
-    std::string  session;  // its requests share a prompt; empty: none
-    std::string  program;  // its sessions share a prompt prefix
+    std::string  session;  // requests of a session share a prompt; may be empty
+    std::string  program;  // sessions of a program share a prompt prefix
     std::int64_t tokens = 0;
     double       memory_part = 0;  // see traffic::Candidate
   };
@@ -128,7 +128,7 @@
                                    const std::vector<std::string>& avoid) const;
 
   // An idle or new connection to the server; nullptr if none can be opened.
-  // `fresh`: always opens a new one.
+  // `fresh`: always opens a new connection.
   BackendConnection* Acquire(const std::string& id, bool fresh);
   void               Release(BackendConnection* connection);
   void               Discard(BackendConnection* connection);
@@ -139,10 +139,10 @@
   void ObserveFailure(const std::string& id);
   // A complete answer reported a failure or refusal of the server.
   void ObserveBadAnswer(const std::string& id);
-  // Records a service time (ms). Only work of the same `kind` and service is
-  // compared.
+  // Records a service time (ms). Servers are compared by work of the same
+  // `kind` and service only.
   void ObserveServiceTime(const std::string& id, std::string_view kind,
-                          double took);
+                          double service_time);
   // Drops expired state and updates slowdowns; call about once a second.
   void Sweep();
 
--- a/src/yuccawick/gateway/exchange.cc
+++ b/src/yuccawick/gateway/exchange.cc
@@ -96,15 +96,15 @@
 bool Exchange::EnsureKeyValid() {
   if (m_workspace == nullptr) return true;
   const auto& newest = (*m_parts.routes)->manifest()->workspaces;
-  const bool  known = !newest || newest->FindByKey(m_info.key) != nullptr;
+  const bool  key_known = !newest || newest->FindByKey(m_info.key) != nullptr;
   const bool  sure = m_parts.key_lease->Holds(m_parts.loop->ReadClock());
-  if (known && sure) return true;
+  if (key_known && sure) return true;
   if (m_head_forwarded) {
     AbortAnswer("key_gone");
   } else if (m_may_have_run) {
     Refuse(Refusal::kServerFailed);
   } else {
-    Refuse(known ? Refusal::kKeyUnsure : Refusal::kUnknownKey);
+    Refuse(key_known ? Refusal::kKeyUnsure : Refusal::kUnknownKey);
   }
   return false;
 }
@@ -169,7 +169,7 @@
        {"tokens_counted_by", m_reservation.coordinator},
        {"after_event", forwarding.last_event},
        {"left_ms", forwarding.left}});
-  // The earlier send may have run, so both count against the rate limit.
+  // The earlier send may have run, so both sends count against the rate limit.
   if (m_may_have_run && m_rate_token)
     m_parts.limiter->Charge(m_workspace->name);
   const bool connected = m_connection->connected();
@@ -257,7 +257,7 @@
   }
   const auto same = m_parts.backends->Find(m_server_id);
   if (!same) {
-    // The server has been removed meanwhile, so another one may be used.
+    // The server has been removed meanwhile, so another server may be used.
     Dispatch();
     return;
   }
--- a/src/yuccawick/gateway/exchange.h
+++ b/src/yuccawick/gateway/exchange.h
@@ -56,7 +56,8 @@
   Log*              log = nullptr;
   Metrics*          metrics = nullptr;
   Time              started = 0;  // start of the node (ms, loop clock)
-  // Routes of the current manifest, which may be newer than a request's.
+  // Routes of the current manifest, which may be newer than the routes that a
+  // request started with.
   const std::shared_ptr<const traffic::RouteTable>* routes = nullptr;
   const workspaces::KeyLease*                       key_lease = nullptr;
   RateLimiter*                                      limiter = nullptr;
@@ -112,7 +113,7 @@
   void   OnSendFailed(traffic::SendFailureCause cause);
   void   SendAgain(traffic::NextStep step);
   // Answering
-  // The answer's status and headers belong to this request.
+  // Whether the answer's status and headers belong to this request.
   bool   IsAnswerValid() const;
   void   ForwardEvents(std::string_view bytes);
   void   ObserveEventTimes(std::int64_t before);
@@ -134,7 +135,8 @@
   Duration                TimeLeft() const;
   // Time until the program's deadline, if the client gave one.
   std::optional<Duration> ProgramTimeLeft() const;
-  // How long no node has reached the log; empty while any node does.
+  // Time for which no node has reached the log; empty while some node reaches
+  // it.
   std::optional<Duration> OutageAge() const;
   // Total time that the request may wait for the log, from its start.
   Duration                MaxLogWait() const;
@@ -144,7 +146,8 @@
   Duration                WaitTimeLeft() const;
   void                    OnWaitTimeout();
   Duration                RetryAfter(traffic::Refusal refusal) const;
-  // Of the workspace, or else of the route; 0 is the highest.
+  // Priority of the workspace or, if it has none, of the route; 0 is the
+  // highest.
   int                     Priority() const;
   std::string             SessionKey() const;
   std::string             ScopedId(const std::string& id) const {
@@ -181,7 +184,7 @@
 
   pressure::MemoryCharge m_memory_charge;
 
-  // The current server and those tried before.
+  // The current server and the servers tried before it.
   BackendConnection*       m_connection = nullptr;
   std::string              m_server_id;
   std::vector<std::string> m_tried_servers;
--- a/src/yuccawick/gateway/exchange_answer.cc
+++ b/src/yuccawick/gateway/exchange_answer.cc
@@ -18,13 +18,13 @@
 
 constexpr int                kOk = 200;
 constexpr int                kMaxSuccessStatus = 299;
-// Statuses that suggest that the request did not run. The server states that
-// only with AnswerInfo::not_run.
+// Statuses that suggest that the request did not run. Only
+// AnswerInfo::not_run states it explicitly.
 constexpr std::array<int, 4> kNotRunStatuses{408, 421, 429, 503};
 // Unsent bytes per client above which reading from the server is paused.
 constexpr std::size_t        kMaxBacklog = 256UL * 1024;
 // Answers up to this size (bytes) are buffered before forwarding, so that a
-// truncated one can still be retried or reported as a failure.
+// truncated answer can still be retried or reported as a failure.
 constexpr std::size_t        kMaxBufferedAnswer = 256UL * 1024;
 constexpr double             kMillisPerSecond = 1000.0;
 // Kind of the service time of stream events, shared by all routes; no route
--- a/src/yuccawick/gateway/exchange_prepare.cc
+++ b/src/yuccawick/gateway/exchange_prepare.cc
@@ -75,7 +75,7 @@
 }
 
 void Exchange::Reject(Refusal refusal) {
-  // Decodes the attempt id for the answer, if there is one.
+  // Decodes the attempt id, if the request has one, for the answer.
   platform::DecodeRequest(m_head, &m_info);
   Refuse(refusal);
 }
@@ -142,8 +142,8 @@
 }
 
 bool Exchange::MayWaitLonger() {
-  // Keeps the longest limit: the end of an outage shortens MaxLogWait(), and
-  // would refuse the requests that waited for it.
+  // Keeps the longest limit: MaxLogWait() is shorter after an outage, which
+  // would refuse the requests that waited for the end of the outage.
   m_max_log_wait = std::max(m_max_log_wait, MaxLogWait());
   const Duration waited = m_parts.loop->now() - m_start_time;
   return waited + m_parts.thresholds->log_wait_pause <= m_max_log_wait;
--- a/src/yuccawick/gateway/follower.cc
+++ b/src/yuccawick/gateway/follower.cc
@@ -25,7 +25,7 @@
 // the manifest is bounded: two reads and a lost one must fit.
 constexpr Duration kReadsPerBound = 10;
 constexpr Duration kResponseMargin = 500;  // ms added to the wait
-// Nodes change rarely, and nothing needs them at once.
+// Nodes change rarely, and no change is needed at once.
 constexpr Duration kNodesWait = 4000;    // ms
 constexpr Duration kNodesPause = 500;    // ms
 constexpr Duration kListTimeout = 1000;  // ms
--- a/src/yuccawick/gateway/gateway.cc
+++ b/src/yuccawick/gateway/gateway.cc
@@ -162,11 +162,12 @@
 
 void Gateway::TakeManifest(const traffic::ManifestPtr& manifest) {
   m_routes = std::make_shared<traffic::RouteTable>(manifest);
-  Duration longest = 0;
+  Duration max_retention = 0;
   for (const traffic::Route& route : manifest->routes) {
-    if (route.keeps_turns) longest = std::max(longest, route.retention);
+    if (route.keeps_turns)
+      max_retention = std::max(max_retention, route.retention);
   }
-  if (longest > 0) m_turns.reader().SetRetention(longest);
+  if (max_retention > 0) m_turns.reader().SetRetention(max_retention);
 }
 
 void Gateway::TakeServers(const traffic::ServerListPtr& servers) {
@@ -243,9 +244,9 @@
 void Gateway::WatchMemory() {
   if (!m_memory->bounded()) return;
   auto& history = m_turns.history();
-  if (const auto left = m_memory->TurnBytesTarget(history.bytes())) {
+  if (const auto target_bytes = m_memory->TurnBytesTarget(history.bytes())) {
     const auto before = history.size();
-    history.Shrink(*left);
+    history.Shrink(*target_bytes);
     m_log->Write(LogEvent::kPressure,
                  {{"turns_dropped", before - history.size()},
                   {"turns_left", history.size()},
@@ -373,9 +374,9 @@
 }
 
 void Gateway::CloseIdle() {
-  std::vector<ClientConnection*> all;
-  for (const auto& [raw, owned] : m_clients) all.push_back(raw);
-  for (ClientConnection* connection : all) connection->CloseIfIdle();
+  std::vector<ClientConnection*> connections;
+  for (const auto& [raw, owned] : m_clients) connections.push_back(raw);
+  for (ClientConnection* connection : connections) connection->CloseIfIdle();
 }
 
 void Gateway::FinishWhenIdle() {
--- a/src/yuccawick/gateway/peer_service.cc
+++ b/src/yuccawick/gateway/peer_service.cc
@@ -11,7 +11,7 @@
 
 using programs::NodeInfo;
 
-// Coordinators tried in sequence for one turn.
+// Largest number of coordinators asked for one turn, one after another.
 constexpr std::size_t kMaxCoordinatorsTried = 3;
 // Timed-out reserve requests that are remembered for late responses.
 constexpr std::size_t kMaxAbandoned = 256;
@@ -117,15 +117,17 @@
   ReserveFrom(turn, 0, m_loop->now() + patience, done);
 }
 
-void PeerService::RetryReserve(const TurnBudget& turn, Time until,
+void PeerService::RetryReserve(const TurnBudget& turn, Time retry_deadline,
                                const ReserveDone& done) {
-  if (IsIsolated() || m_loop->now() + m_thresholds->reserve_pause >= until) {
+  if (IsIsolated() ||
+      m_loop->now() + m_thresholds->reserve_pause >= retry_deadline) {
     done({ReserveOutcome::kUnsure, turn, {}});
     return;
   }
-  m_loop->After(m_thresholds->reserve_pause, [this, turn, until, done] {
-    ReserveFrom(turn, 0, until, done);
-  });
+  m_loop->After(m_thresholds->reserve_pause,
+                [this, turn, retry_deadline, done] {
+                  ReserveFrom(turn, 0, retry_deadline, done);
+                });
 }
 
 // Nodes that reported the log unavailable are ranked last. Otherwise all
@@ -149,21 +151,21 @@
 }
 
 void PeerService::ReserveFrom(const TurnBudget& turn, std::size_t rank,
-                              Time until, const ReserveDone& done) {
+                              Time retry_deadline, const ReserveDone& done) {
   const auto coordinators =
       RankCoordinators(TokenCoordinatorKey(ClaimPartitionOf(turn.program)));
   if (rank >= std::min(coordinators.size(), kMaxCoordinatorsTried)) {
-    RetryReserve(turn, until, done);
+    RetryReserve(turn, retry_deadline, done);
     return;
   }
   const NodeInfo& coordinator = coordinators[rank];
-  const auto      on_decided = [this, turn, rank, until,
+  const auto      on_decided = [this, turn, rank, retry_deadline,
                            done](const Reservation& result) {
     if (result.outcome == ReserveOutcome::kUnsure) {
-      // It cannot reach the log; the next in rank may.
-      ReserveFrom(turn, rank + 1, until, done);
+      // This coordinator cannot reach the log; the next in rank may reach it.
+      ReserveFrom(turn, rank + 1, retry_deadline, done);
     } else if (result.outcome == ReserveOutcome::kHold) {
-      RetryReserve(turn, until, done);
+      RetryReserve(turn, retry_deadline, done);
     } else {
       done(result);
     }
@@ -302,7 +304,8 @@
              it->second.begin(), it->second.end(), [&](const TurnBudget& each) {
         return each.program == program && each.max_tokens == settle.getMost();
       });
-  // Missing: charged in full when an earlier connection closed.
+  // If missing, the turn was charged in full when an earlier connection
+  // closed.
   if (turn == it->second.end()) return;
   const TurnBudget ended = *turn;
   it->second.erase(turn);
@@ -313,7 +316,8 @@
 void PeerService::OnConnectionClosed(PeerNetwork::ConnectionId connection) {
   auto node = m_reserved.extract(connection);
   if (node.empty()) return;
-  // Their usage will not be reported, so each turn is charged max_tokens.
+  // The usage of these turns will not be reported, so each is charged
+  // max_tokens.
   for (const TurnBudget& turn : node.mapped())
     CoordinatorOf(turn.program).EndTurn(turn, turn.max_tokens);
 }
@@ -349,16 +353,16 @@
 }
 
 Duration PeerService::LongestOutage() const {
-  Duration longest = m_turn_store->reader().UnavailableFor();
+  Duration longest_outage = m_turn_store->reader().UnavailableFor();
   for (const TokenCoordinator& coordinator : *m_coordinators) {
-    longest = std::max(longest, coordinator.LogUnavailableFor());
+    longest_outage = std::max(longest_outage, coordinator.LogUnavailableFor());
   }
-  return longest;
+  return longest_outage;
 }
 
 void PeerService::Probe(const NodeInfo& node) {
-  // Any response will do: PeerNetwork clears the suspicion of a node that it
-  // receives from.
+  // Any response is enough: PeerNetwork clears the suspicion of each node that
+  // it receives a message from.
   m_network->SendRequest(
       node,
       [](PeerMessage::Builder message) {
--- a/src/yuccawick/gateway/peer_service.h
+++ b/src/yuccawick/gateway/peer_service.h
@@ -78,12 +78,13 @@
 
  private:
   void ReserveLocally(const TurnBudget& turn, const ReserveDone& done);
-  // `rank`: rank of the coordinator to try, from 0. `until`: end of retries.
-  void ReserveFrom(const TurnBudget& turn, std::size_t rank, Time until,
-                   const ReserveDone& done);
+  // `rank`: rank of the coordinator to try, from 0. `retry_deadline`: end of
+  // retries.
+  void ReserveFrom(const TurnBudget& turn, std::size_t rank,
+                   Time retry_deadline, const ReserveDone& done);
   void SendReserve(const programs::NodeInfo& coordinator,
                    const TurnBudget& turn, const ReserveDone& done);
-  void RetryReserve(const TurnBudget& turn, Time until,
+  void RetryReserve(const TurnBudget& turn, Time retry_deadline,
                     const ReserveDone& done);
   void Probe(const programs::NodeInfo& node);
   void WatchIsolation();
--- a/src/yuccawick/gateway/peer_turns.cc
+++ b/src/yuccawick/gateway/peer_turns.cc
@@ -218,9 +218,9 @@
     RespondToFind(id, ReadState::kIncomplete, reply);
     return;
   }
-  auto       open = std::make_shared<bool>(true);
-  const auto respond = [this, id, reply, open](ReadState state) {
-    if (std::exchange(*open, false)) RespondToFind(id, state, reply);
+  auto       unanswered = std::make_shared<bool>(true);
+  const auto respond = [this, id, reply, unanswered](ReadState state) {
+    if (std::exchange(*unanswered, false)) RespondToFind(id, state, reply);
   };
   const auto completed = [respond](bool complete) {
     respond(complete ? ReadState::kComplete : ReadState::kIncomplete);
--- a/src/yuccawick/gateway/rate_coordinator.cc
+++ b/src/yuccawick/gateway/rate_coordinator.cc
@@ -18,14 +18,16 @@
 using workspaces::RateRequest;
 using workspaces::RateResponse;
 
-// Records read before the first own record; raised while they are too few.
+// Number of records read before the first own record; raised while these are
+// too few.
 constexpr std::int64_t kTailRecords = 64;
 // Upper bound for this number; covers a rate window even if each log append
 // carries a claim.
 constexpr std::int64_t kMaxTailRecords = 4096;
 // Records between two own claims above which it is cheaper to reopen.
 constexpr std::int64_t kMaxRecordsBetween = 256;
-// Least time between two claims, in ms, so that one serves many requests.
+// Least time between two claims, in ms, so that one claim serves many
+// requests.
 constexpr Duration     kMinClaimInterval = 20;
 constexpr Duration     kMaxClaimInterval = 250;  // ms
 constexpr std::size_t  kPageBytes = 64UL * 1024;
@@ -97,7 +99,7 @@
   m_pending = std::move(undecided);
   Claim();
   if (m_health.unavailable() && m_claiming) RespondUnsure();
-  // Last, because a callback may call RequestTokens() again.
+  // Called last, because a callback may call RequestTokens() again.
   for (const Reply& reply : replies) reply.done(reply.response);
 }
 
@@ -153,9 +155,9 @@
 }
 
 // Keeps the total rate of claims constant when several nodes coordinate the
-// same partition, as nodes do that cannot reach each other. Otherwise their
-// claims could use up the appends that the log accepts, and all tokens would
-// arrive late.
+// same partition, which happens if they cannot reach each other. Otherwise
+// their claims could use up the appends that the log accepts, and all tokens
+// would arrive late.
 Duration RateCoordinator::ClaimInterval() const {
   return std::min(kMinClaimInterval * (1 + m_other_records), kMaxClaimInterval);
 }
@@ -200,9 +202,9 @@
   ReadUpTo(
       m_next_offset, *offset,
       [this](const platform::LogRecord& raw) {
-        auto other = programs::DecodeRate(raw.value);
-        if (!other) return;
-        m_allocator.ledger().Apply({raw.offset, std::move(*other)},
+        auto decoded_claim = programs::DecodeRate(raw.value);
+        if (!decoded_claim) return;
+        m_allocator.ledger().Apply({raw.offset, std::move(*decoded_claim)},
                                    m_loop->now());
       },
       [this, pending_claim] { ApplyClaim(pending_claim); });
@@ -283,8 +285,8 @@
                   const bool expired = !result && result.error().failure ==
                                                       StoreFailure::kExpired;
                   m_health.Observe(result.has_value() || expired, "read");
-                  // Deleted records do no harm while opening; later, a claim
-                  // that was never applied may be among them.
+                  // Deleted records do no harm while opening; later, one of
+                  // them may be a claim that was never applied.
                   if (expired && m_state == State::kOpening &&
                       result.error().first > from) {
                     ReadUpTo(result.error().first, to, on_record, done);
--- a/src/yuccawick/gateway/rate_coordinator.h
+++ b/src/yuccawick/gateway/rate_coordinator.h
@@ -2,9 +2,9 @@
 // to the platform log and reads the claims of other nodes. One claim is pending
 // at a time.
 //
-// It opens with an empty append, which returns the end of the log, and reads
-// the records before it. Later it reads only when records of other nodes lie
-// between its own claims.
+// Opening a coordinator appends an empty batch, which returns the end of the
+// log, and reads the records before that end. An open coordinator reads only
+// when records of other nodes lie between its own claims.
 #pragma once
 
 #include <functional>
@@ -98,7 +98,7 @@
   bool          m_claiming = false;
   bool          m_claim_scheduled = false;  // a timer runs
   Time          m_claimed_at = 0;           // when the last claim was sent
-  // Records of other nodes between its last two claims.
+  // Records of other nodes between the last two claims of this node.
   std::int64_t  m_other_records = 0;
   std::int64_t  m_last_offset = -1;  // of the last own record
   Time          m_last_acked = 0;
--- a/src/yuccawick/gateway/rate_limiter.cc
+++ b/src/yuccawick/gateway/rate_limiter.cc
@@ -12,15 +12,15 @@
 using workspaces::RateRequest;
 using workspaces::RateResponse;
 
-// Coordinators tried in turn.
+// Largest number of coordinators asked for one request, one after another.
 constexpr std::size_t  kMaxCoordinators = 3;
-// Tokens requested ahead, as a duration of this node's demand (ms).
+// Tokens requested in advance, as a duration of this node's demand (ms).
 constexpr double       kPrefetchTime = 150.0;
 constexpr int          kMaxPrefetch = 20;
-// Local tokens below which more are requested while they are plenty.
+// Local tokens below which more are requested while tokens are plentiful.
 constexpr std::int64_t kLowWatermark = 2;
 constexpr double       kMillisPerSecond = 1000.0;
-// How long a report of scarce or plenty tokens applies (ms).
+// How long a report of scarce or plentiful tokens applies (ms).
 constexpr Duration     kSupplyReportTtl = 500;
 // Programs not seen for this long (ms) are treated as ended.
 constexpr Duration     kProgramTtl = 10'000;
@@ -107,11 +107,12 @@
   state.demand.Count(1, now);
   Waiter waiter{HashProgram(step.program), true, now, step.max_wait,
                 std::move(done)};
-  waiter.known = waiter.program == 0 || step.continues ||
-                 m_programs.contains(waiter.program);
+  waiter.known_program = waiter.program == 0 || step.continues ||
+                         m_programs.contains(waiter.program);
   RateLimitResult result;
   const bool      scarce = now < state.scarce_until;
-  const bool      may_take = state.waiting.empty() && (waiter.known || !scarce);
+  const bool      may_take =
+      state.waiting.empty() && (waiter.known_program || !scarce);
   if (may_take && TakeToken(&state, waiter, &result)) {
     RequestMore(workspace.name);
     waiter.done(result);
@@ -142,7 +143,7 @@
   std::deque<Waiter>    remaining;
   for (Waiter& waiter : state.waiting) {
     RateLimitResult result;
-    const bool      may_take = waiter.known || !scarce;
+    const bool      may_take = waiter.known_program || !scarce;
     if (may_take && TakeToken(&state, waiter, &result)) {
       admitted.push_back({std::move(waiter.done), result});
     } else {
@@ -166,21 +167,21 @@
     const Duration max_wait = outcome == RateLimitOutcome::kUnsure
                                   ? waiter.max_wait
                                   : m_thresholds->rate_wait;
-    // New programs are refused at once while tokens are scarce; running ones
-    // wait as long as a token can arrive in time.
+    // New programs are refused at once while tokens are scarce; running
+    // programs wait as long as a token can arrive in time.
     const bool     too_late =
         now + std::max(response.retry_delay, kMinRequestInterval) >=
         waiter.since + max_wait;
-    const bool ends = too_late || (!waiter.known && response.scarce);
+    const bool ends = too_late || (!waiter.known_program && response.scarce);
     (ends ? refused.emplace_back(std::move(waiter))
           : remaining.emplace_back(std::move(waiter)));
   }
   state.waiting = std::move(remaining);
   for (const Waiter& waiter : refused) {
-    waiter.done(
-        {outcome,
-         waiter.known ? response.retry_delay : response.new_program_retry_delay,
-         {}});
+    waiter.done({outcome,
+                 waiter.known_program ? response.retry_delay
+                                      : response.new_program_retry_delay,
+                 {}});
   }
 }
 
@@ -192,7 +193,7 @@
   RateRequest request;
   request.workspace = workspace;
   for (const Waiter& waiter : state->waiting) {
-    if (waiter.known) {
+    if (waiter.known_program) {
       ++request.want;
     } else {
       request.waiting.push_back(waiter.program);
@@ -236,7 +237,7 @@
   const auto on_response = [this, request, rank,
                             requested_at](const RateResponse& response) {
     if (response.unsure) {
-      // It cannot reach the log; the next coordinator may.
+      // This coordinator cannot reach the log; the next one may reach it.
       RequestFromRank(request, rank + 1, requested_at);
     } else {
       OnResponse(request, response, requested_at);
@@ -315,7 +316,7 @@
       continue;
     }
     m_programs[waiter.program] = m_loop->now();
-    waiter.known = true;
+    waiter.known_program = true;
   }
   ServeWaiting(request.workspace);
   RefuseWaiting(request.workspace,
--- a/src/yuccawick/gateway/rate_limiter.h
+++ b/src/yuccawick/gateway/rate_limiter.h
@@ -71,11 +71,11 @@
 
  private:
   struct Waiter {
-    workspaces::ProgramHash program = 0;   // 0 if none
-    bool                    known = true;  // seen by this node, or no program
-    Time                    since = 0;
-    Duration                max_wait = 0;  // ms to wait for a coordinator
-    Done                    done;
+    workspaces::ProgramHash program = 0;  // 0 if none
+    bool     known_program = true;        // seen by this node, or no program
+    Time     since = 0;
+    Duration max_wait = 0;  // ms to wait for a coordinator
+    Done     done;
   };
   struct WorkspaceState {
     workspaces::TokenPool                           pool;
@@ -94,7 +94,7 @@
                                     RateLimitResult* result);
   workspaces::RateRequest BuildRequest(const std::string& workspace,
                                        WorkspaceState*    state) const;
-  // Requests tokens if requests wait, or in advance while tokens are plenty.
+  // Requests tokens if requests wait, or in advance while tokens are plentiful.
   void                    RequestMore(const std::string& workspace);
   void RequestFromRank(const workspaces::RateRequest& request, std::size_t rank,
                        Time requested_at);
@@ -118,7 +118,7 @@
   std::vector<RateCoordinator>* m_coordinators;  // by partition
   CoordinatorLookup             m_rank_coordinators;
   std::unordered_map<std::string, WorkspaceState>   m_workspaces;  // by name
-  // Active programs, with the time they were last seen.
+  // Active programs, with the time of their last request.
   std::unordered_map<workspaces::ProgramHash, Time> m_programs;
 
   static constexpr Duration kDemandWindow = 400;  // ms
--- a/src/yuccawick/gateway/token_coordinator.cc
+++ b/src/yuccawick/gateway/token_coordinator.cc
@@ -95,7 +95,7 @@
   } else {
     Balance(program, &account);
   }
-  // Last, because a callback may call Reserve() again.
+  // Called last, because a callback may call Reserve() again.
   for (const Decision& decision : decisions) decision.done(decision.outcome);
 }
 
@@ -154,7 +154,7 @@
   const bool unavailable = !request->denied && m_health.unavailable();
   CancelAdmission(*request);
   waiting.erase(request);
-  // The tokens held for it may be released now.
+  // The tokens held for this request may be released now.
   Serve(program);
   done(unavailable ? ReserveOutcome::kUnsure : ReserveOutcome::kHold);
 }
@@ -254,7 +254,7 @@
   m_appended.emplace(offset, record);
   if (m_caught_up) ApplyAppended();
   if (m_next_offset > offset) return;
-  // Other nodes' records precede it.
+  // Records of other nodes precede this record.
   m_read_until = std::max(m_read_until, offset + 1);
   ReadClaims();
 }
@@ -283,7 +283,7 @@
                                   {"granted", granted}});
   if (granted == 0) {
     account.spent = true;
-    // Any request that lacks as much would be denied too.
+    // Any request that lacks as many tokens would be denied too.
     for (PendingRequest& request : account.waiting) {
       const auto lacks = request.turn.max_tokens - account.tokens.Available();
       request.denied = request.denied || lacks >= need;
@@ -326,11 +326,12 @@
 void TokenCoordinator::SkipTo(std::int64_t first) {
   m_next_offset = first;
   m_ledger = {};
-  // Own claims among them were decided, but the outcome cannot be read.
-  std::vector<std::uint64_t> open;
-  for (const auto& [number, claim] : m_claims) open.push_back(number);
+  // Own claims among the deleted records were decided, but the outcome cannot
+  // be read.
+  std::vector<std::uint64_t> open_claims;
+  for (const auto& [number, claim] : m_claims) open_claims.push_back(number);
   if (!m_appender.busy()) {
-    for (const std::uint64_t number : open) OnClaimRefused(number);
+    for (const std::uint64_t number : open_claims) OnClaimRefused(number);
   }
   ReadPage();
 }
@@ -360,10 +361,10 @@
                 [this, began = m_loop->now()](
                     const StoreResult<platform::ReadPage>& result) {
                   m_reading = false;
-                  const Duration took = m_loop->now() - began;
+                  const Duration elapsed = m_loop->now() - began;
                   if (result) {
-                    m_read_size.OnReply(took);
-                  } else if (took >= m_thresholds->log_timeout) {
+                    m_read_size.OnReply(elapsed);
+                  } else if (elapsed >= m_thresholds->log_timeout) {
                     m_read_size.OnTimeout();
                   }
                   const bool expired = !result && result.error().failure ==
@@ -414,17 +415,17 @@
 
 // Releases -------------------------------------------------------------------
 
-// Delayed, because the next turn may need the tokens, and so that one append
-// carries several releases.
+// Releases are delayed because the next turn may need the tokens, and so that
+// one append carries several releases.
 void TokenCoordinator::ScheduleReleases() {
   if (std::exchange(m_release_scheduled, true)) return;
   m_loop->After(m_thresholds->give_back_delay, [this] {
     m_release_scheduled = false;
-    std::vector<std::string> due;
+    std::vector<std::string> due_programs;
     for (const auto& [program, time] : m_release_at) {
-      if (time <= m_loop->now()) due.push_back(program);
+      if (time <= m_loop->now()) due_programs.push_back(program);
     }
-    for (const std::string& program : due) {
+    for (const std::string& program : due_programs) {
       m_release_at.erase(program);
       const auto account = m_accounts.find(program);
       if (account != m_accounts.end()) Release(program, &account->second);
--- a/src/yuccawick/gateway/token_coordinator.h
+++ b/src/yuccawick/gateway/token_coordinator.h
@@ -112,9 +112,9 @@
 
   // Completes the requests that can be decided, then balances the account.
   void Serve(const std::string& program);
-  // Admits the request unless it has been admitted before. Waits until the
-  // claims have been read, since they tell whether the program is new. Returns
-  // false if the request is refused.
+  // Admits the request unless it has been admitted before. Does nothing until
+  // the claims have been read, since they tell whether the program is new.
+  // Returns false if the request is refused.
   bool Admit(Account* account, PendingRequest* request);
   void CancelAdmission(const PendingRequest& request);
   std::optional<ReserveOutcome> Decide(Account*              account,
--- a/src/yuccawick/gateway/turn_reader.cc
+++ b/src/yuccawick/gateway/turn_reader.cc
@@ -61,7 +61,8 @@
   ReadNextPage(partition);
 }
 
-// Requests made before a read at the end of the partition are completed by it.
+// Requests made before a read at the end of the partition are completed by that
+// read.
 void TurnReader::ServeWaiting(ScanState* scan) {
   for (ScanRequest& request : scan->waiting) {
     scan->served.push_back(std::move(request));
@@ -96,17 +97,17 @@
           SkipTo(partition, from, result.error().first);
           return;
         }
-        const Duration took = m_loop->now() - began;
-        const bool     in_time = took < m_thresholds->log_timeout;
+        const Duration elapsed = m_loop->now() - began;
+        const bool     in_time = elapsed < m_thresholds->log_timeout;
         if (result) {
-          m_read_size.OnReply(took);
+          m_read_size.OnReply(elapsed);
         } else if (!in_time) {
           m_read_size.OnTimeout();
         }
         // A read on a dropped keep-alive connection fails at once and is
         // repeated. A read that timed out is not: the log is probably
         // overloaded, and repeated reads would keep it so.
-        const bool failed_fast = took < m_thresholds->log_timeout / 2;
+        const bool failed_fast = elapsed < m_thresholds->log_timeout / 2;
         if (!result && failed_fast && !is_retry &&
             result.error().failure == StoreFailure::kUnknown) {
           ReadNextPage(partition, true);
@@ -172,7 +173,7 @@
                                  {"end", scan.plan.end()},
                                  {"records", scan.records_read},
                                  {"questions", served.size()}});
-  // Requests made during this scan need one that starts after them.
+  // Requests made during this scan need a scan that starts after them.
   if (!scan.waiting.empty()) BeginScan(partition);
   for (const ScanRequest& request : served) request.done(sure);
 }
@@ -200,14 +201,15 @@
   if (!partial.parts.emplace(read->part, std::move(read->turn)).second) return;
   partial.position.records.push_back(range);
   if (partial.parts.size() < read->parts) return;
-  const PartialTurn all = std::move(m_partial_turns.extract(key).mapped());
-  programs::Turn    whole = all.parts.begin()->second;
-  for (auto part = std::next(all.parts.begin()); part != all.parts.end();
-       ++part) {
-    whole.input += part->second.input;
-    whole.output += part->second.output;
+  const PartialTurn partial_turn =
+      std::move(m_partial_turns.extract(key).mapped());
+  programs::Turn full_turn = partial_turn.parts.begin()->second;
+  for (auto part = std::next(partial_turn.parts.begin());
+       part != partial_turn.parts.end(); ++part) {
+    full_turn.input += part->second.input;
+    full_turn.output += part->second.output;
   }
-  AddTurn(std::move(whole), all.position);
+  AddTurn(std::move(full_turn), partial_turn.position);
 }
 
 void TurnReader::AddTurn(programs::Turn turn, Position position) {
--- a/src/yuccawick/gateway/turn_store.cc
+++ b/src/yuccawick/gateway/turn_store.cc
@@ -81,7 +81,7 @@
 
 void TurnStore::SearchOthers(const FindRequest& request,
                              const std::string& missing, bool first_complete) {
-  auto       open = std::make_shared<int>(kTurnPartitions - 1);
+  auto       pending_searches = std::make_shared<int>(kTurnPartitions - 1);
   auto       complete = std::make_shared<bool>(first_complete);
   const auto end = [this, request, missing, complete] {
     if (m_history.Missing(request.id) == missing) {
@@ -93,16 +93,18 @@
   };
   for (int i = 0; i < kTurnPartitions; ++i) {
     if (i == request.partition) continue;
-    const auto on_searched = [open, complete, end](bool scan_complete) {
+    const auto on_searched = [pending_searches, complete,
+                              end](bool scan_complete) {
       *complete = *complete && scan_complete;
-      if (--*open == 0) end();
+      if (--*pending_searches == 0) end();
     };
     SearchPartition({i, missing, on_searched});
   }
 }
 
-// A complete scan proves only that the requested turn does not exist. A missing
-// ancestor proves nothing about it: the log may have deleted the ancestor.
+// A complete scan that does not find the requested turn proves that it does not
+// exist. Not finding an ancestor yields kUnsure, because the log may have
+// deleted the ancestor.
 void TurnStore::EndSearch(const FindRequest& request,
                           const std::string& missing, bool complete) {
   m_log->Write(LogEvent::kScan, {{"asked_for", request.id},
@@ -220,14 +222,14 @@
 }
 
 void TurnStore::EndAttempts(const PendingPersistPtr& pending) {
-  if (!std::exchange(pending->open, false)) return;
+  if (!std::exchange(pending->active, false)) return;
   --m_pending_persists;
   pending->done = nullptr;
 }
 
 void TurnStore::FinishPersist(const PendingPersistPtr& pending,
                               const LogPosition&       position) {
-  if (!pending->open) return;
+  if (!pending->active) return;
   const PersistDone done = std::move(pending->done);
   EndAttempts(pending);
   m_history.Add(pending->turn, m_loop->now(),
@@ -241,14 +243,14 @@
 void TurnStore::SendAppend(const PendingPersistPtr& pending) {
   pending->tried.insert(pending->partition);
   Append(
-      pending->turn, pending->partition, [pending] { return pending->open; },
+      pending->turn, pending->partition, [pending] { return pending->active; },
       [this, pending](std::optional<LogPosition> position) {
         if (position) FinishPersist(pending, *position);
       });
 }
 
 void TurnStore::Persist(const programs::Turn& turn, Duration retention,
-                        Time until, PersistDone done) {
+                        Time deadline, PersistDone done) {
   const int  partition = ChoosePartition(PartitionOf(turn.program));
   const Time now = m_loop->now();
   const auto pending = std::make_shared<PendingPersist>(PendingPersist{
@@ -258,24 +260,25 @@
   m_loop->After(
       m_reader.IsUnavailable(partition) ? 0 : m_thresholds->log_patience,
       [this, pending] { RetryElsewhere(pending); });
-  m_loop->After(std::max<Duration>(0, until - now),
+  m_loop->After(std::max<Duration>(0, deadline - now),
                 [this, pending] { EndAttempts(pending); });
 }
 
-// Tries another partition, from the second time on also other nodes. Partitions
+// Tries another partition and, from the second call on, other nodes. Partitions
 // fail independently, and a failure is known only after a timeout, so the next
 // partition is tried whatever the state of the current one. Duplicate copies of
 // a turn in the log are harmless.
 void TurnStore::RetryElsewhere(const PendingPersistPtr& pending) {
-  if (!pending->open) return;
+  if (!pending->active) return;
   const auto retry = [this, pending](Duration pause) {
     m_loop->After(pause, [this, pending] { RetryElsewhere(pending); });
   };
-  const int  next = ChoosePartition((pending->partition + 1) % kTurnPartitions);
-  const bool another =
-      !m_reader.IsUnavailable(next) && !pending->tried.contains(next);
+  const int next_partition =
+      ChoosePartition((pending->partition + 1) % kTurnPartitions);
+  const bool another = !m_reader.IsUnavailable(next_partition) &&
+                       !pending->tried.contains(next_partition);
   if (another) {
-    pending->partition = next;
+    pending->partition = next_partition;
     SendAppend(pending);
   }
   if (another && pending->tried.size() == 2) {
--- a/src/yuccawick/gateway/turn_store.h
+++ b/src/yuccawick/gateway/turn_store.h
@@ -96,10 +96,10 @@
   void Find(const std::string& id, const std::string& program, FindDone done);
 
   using PersistDone = std::function<void(const LogPosition&)>;
-  // Calls `done` once the log has acknowledged the turn. After `until` the turn
-  // is abandoned and `done` is never called: its client has not received the
-  // end of the response, so the turn need not be stored.
-  void Persist(const programs::Turn& turn, Duration retention, Time until,
+  // Calls `done` once the log has acknowledged the turn. After `deadline` the
+  // turn is abandoned and `done` is never called: its client has not received
+  // the end of the response, so the turn need not be stored.
+  void Persist(const programs::Turn& turn, Duration retention, Time deadline,
                PersistDone done);
   // Appends a peer's turn; `done` receives nothing if the log does not
   // acknowledge it within `relay_answer` ms.
@@ -129,7 +129,7 @@
     int            partition = 0;       // last one tried
     std::set<int>  tried;               // partitions tried
     std::size_t    relay_attempts = 0;  // attempts by other nodes
-    bool           open = true;
+    bool           active = true;
     PersistDone    done;
   };
   using PendingPersistPtr = std::shared_ptr<PendingPersist>;
