--- a/src/yuccawick/gateway/exchange.cc
+++ b/src/yuccawick/gateway/exchange.cc
@@ -97,8 +97,8 @@
   if (m_workspace == nullptr) return true;
   const auto& newest = (*m_parts.routes)->manifest()->workspaces;
   const bool  key_known = !newest || newest->FindByKey(m_info.key) != nullptr;
-  const bool  sure = m_parts.key_lease->Holds(m_parts.loop->ReadClock());
-  if (key_known && sure) return true;
+  const bool  lease_valid = m_parts.key_lease->Holds(m_parts.loop->ReadClock());
+  if (key_known && lease_valid) return true;
   if (m_head_forwarded) {
     AbortAnswer("key_gone");
   } else if (m_may_have_run) {
--- a/src/yuccawick/gateway/exchange_answer.cc
+++ b/src/yuccawick/gateway/exchange_answer.cc
@@ -55,7 +55,7 @@
     if (m_answer_info.stamped && !m_answer_info.encoded) ForwardEvents(bytes);
     return;
   }
-  // The body of an answer that is not forwarded is not needed.
+  // The body is needed only if the answer is forwarded.
   const bool may_pass = IsAnswerValid() && !m_answer_info.not_run &&
                         !SuggestsNotRun(m_answer.status);
   if (!may_pass) return;
@@ -124,9 +124,9 @@
   const Time now = m_parts.loop->now();
   const Time last = std::exchange(m_last_event_time, now);
   if (last == 0) return;
-  const auto took = static_cast<double>(now - last);
+  const auto elapsed = static_cast<double>(now - last);
   m_parts.backends->ObserveServiceTime(m_server_id, kEventServiceKind,
-                                       took / events);
+                                       elapsed / events);
 }
 
 void Exchange::ClientDrained() {
@@ -224,8 +224,9 @@
 void Exchange::FinishAnswer(std::string_view last_bytes) {
   m_client->WriteToClient(last_bytes);
   m_parts.metrics->CountAnswer(m_route->kind);
-  const Duration took = m_parts.loop->now() - m_start_time;
-  m_parts.metrics->ObserveAnswer(static_cast<double>(took) / kMillisPerSecond);
+  const Duration elapsed = m_parts.loop->now() - m_start_time;
+  m_parts.metrics->ObserveAnswer(static_cast<double>(elapsed) /
+                                 kMillisPerSecond);
   m_parts.log->Write(
       LogEvent::kAnswered,
       {{"request", m_info.attempt},
@@ -236,7 +237,7 @@
         m_first_event_time == 0 ? 0 : m_first_event_time - m_start_time},
        {"turn_partition", m_log_position.partition},
        {"turn_offset", m_log_position.offset},
-       {"took_ms", took}});
+       {"took_ms", elapsed}});
   ClientSide* client = m_client;
   End();
   client->AnswerDone();
--- a/src/yuccawick/gateway/exchange_prepare.cc
+++ b/src/yuccawick/gateway/exchange_prepare.cc
@@ -285,8 +285,9 @@
   m_reserved = reserved;
   m_reservation = reservation;
   if (reserved) {
-    const bool known = !reservation.server.empty() && !SessionKey().empty();
-    if (known)
+    const bool server_known =
+        !reservation.server.empty() && !SessionKey().empty();
+    if (server_known)
       m_parts.backends->RememberSession(SessionKey(), reservation.server);
     OnPrepared();
   } else {
--- a/src/yuccawick/gateway/gateway.cc
+++ b/src/yuccawick/gateway/gateway.cc
@@ -336,7 +336,7 @@
   }
 }
 
-// Covers the whole process, including the control thread.
+// The logged usage covers the whole process, including the control thread.
 void Gateway::WriteLogUsage() {
   if (m_loop->now() - m_usage_logged_at < kLogUsageInterval) return;
   m_usage_logged_at = m_loop->now();
--- a/src/yuccawick/gateway/peer_service.cc
+++ b/src/yuccawick/gateway/peer_service.cc
@@ -389,9 +389,9 @@
 
 void PeerService::SendLoads() {
   auto       report = m_backends->LocalReport();
-  const bool due =
+  const bool report_due =
       m_loop->now() - m_report_sent_at >= m_thresholds->news_anyway;
-  if (report == m_sent_report && !due) return;
+  if (report == m_sent_report && !report_due) return;
   m_sent_report = std::move(report);
   m_report_sent_at = m_loop->now();
   for (const NodeInfo& node : m_members->Others()) {
@@ -443,8 +443,9 @@
 void PeerService::SendUsage() {
   auto usage = m_admission->LocalUsageByService();
   if (usage.empty()) return;
-  const bool due = m_loop->now() - m_usage_sent_at >= m_thresholds->news_anyway;
-  if (usage == m_sent_usage && !due) return;
+  const bool report_due =
+      m_loop->now() - m_usage_sent_at >= m_thresholds->news_anyway;
+  if (usage == m_sent_usage && !report_due) return;
   m_sent_usage = std::move(usage);
   m_usage_sent_at = m_loop->now();
   FindOtherCoordinators();
--- a/src/yuccawick/gateway/rate_coordinator.h
+++ b/src/yuccawick/gateway/rate_coordinator.h
@@ -2,7 +2,7 @@
 // to the platform log and reads the claims of other nodes. One claim is pending
 // at a time.
 //
-// Opening a coordinator appends an empty batch, which returns the end of the
+// Opening a coordinator appends an empty claim, which returns the end of the
 // log, and reads the records before that end. An open coordinator reads only
 // when records of other nodes lie between its own claims.
 #pragma once
--- a/src/yuccawick/gateway/rate_limiter.cc
+++ b/src/yuccawick/gateway/rate_limiter.cc
@@ -172,9 +172,9 @@
     const bool     too_late =
         now + std::max(response.retry_delay, kMinRequestInterval) >=
         waiter.since + max_wait;
-    const bool ends = too_late || (!waiter.known_program && response.scarce);
-    (ends ? refused.emplace_back(std::move(waiter))
-          : remaining.emplace_back(std::move(waiter)));
+    const bool refuse = too_late || (!waiter.known_program && response.scarce);
+    (refuse ? refused.emplace_back(std::move(waiter))
+            : remaining.emplace_back(std::move(waiter)));
   }
   state.waiting = std::move(remaining);
   for (const Waiter& waiter : refused) {
--- a/src/yuccawick/gateway/rate_limiter.h
+++ b/src/yuccawick/gateway/rate_limiter.h
@@ -106,7 +106,8 @@
   void ScheduleRequest(const std::string& workspace, Duration delay);
   // Admits waiting requests with local tokens.
   void ServeWaiting(const std::string& workspace);
-  // Refuses the waiting requests that would wait too long.
+  // Refuses the waiting requests that would wait too long and, while tokens are
+  // scarce, those of new programs.
   void RefuseWaiting(const std::string& workspace, RateLimitOutcome outcome,
                      const workspaces::RateResponse& response);
   RateCoordinator& CoordinatorFor(const std::string& workspace);
@@ -118,7 +119,7 @@
   std::vector<RateCoordinator>* m_coordinators;  // by partition
   CoordinatorLookup             m_rank_coordinators;
   std::unordered_map<std::string, WorkspaceState>   m_workspaces;  // by name
-  // Active programs, with the time of their last request.
+  // Active programs, with the time at which this node last saw them.
   std::unordered_map<workspaces::ProgramHash, Time> m_programs;
 
   static constexpr Duration kDemandWindow = 400;  // ms
--- a/src/yuccawick/gateway/token_coordinator.cc
+++ b/src/yuccawick/gateway/token_coordinator.cc
@@ -389,7 +389,7 @@
 }
 
 void TokenCoordinator::ApplyPage(const platform::ReadPage& page) {
-  // Applying a record may trigger a read; prevents a second one from here.
+  // Applying a record may trigger a read; while m_reading is set, none starts.
   m_reading = true;
   for (const auto& record : page.records) {
     if (record.offset < m_next_offset)
--- a/src/yuccawick/gateway/turn_reader.cc
+++ b/src/yuccawick/gateway/turn_reader.cc
@@ -164,18 +164,18 @@
 
 void TurnReader::EndScan(int partition, bool complete) {
   ScanState& scan = ScanOf(partition);
-  const bool sure = complete && m_loop->now() >= scan.complete_after;
+  const bool scan_complete = complete && m_loop->now() >= scan.complete_after;
   const auto served = std::exchange(scan.served, {});
   scan.busy = false;
   m_log->Write(LogEvent::kScan, {{"partition", partition},
-                                 {"complete", sure ? "yes" : "no"},
+                                 {"complete", scan_complete ? "yes" : "no"},
                                  {"offset", scan.plan.from()},
                                  {"end", scan.plan.end()},
                                  {"records", scan.records_read},
                                  {"questions", served.size()}});
   // Requests made during this scan need a scan that starts after them.
   if (!scan.waiting.empty()) BeginScan(partition);
-  for (const ScanRequest& request : served) request.done(sure);
+  for (const ScanRequest& request : served) request.done(scan_complete);
 }
 
 void TurnReader::ApplyRecord(int partition, const LogRecord& record) {
--- a/src/yuccawick/gateway/turn_store.cc
+++ b/src/yuccawick/gateway/turn_store.cc
@@ -102,9 +102,9 @@
   }
 }
 
-// A complete scan that does not find the requested turn proves that it does not
-// exist. Not finding an ancestor yields kUnsure, because the log may have
-// deleted the ancestor.
+// If the missing turn is the requested one, a complete scan proves that it does
+// not exist. If an ancestor is missing, the scan does not prove that: the log
+// may have deleted the ancestor, so peers are searched for it.
 void TurnStore::EndSearch(const FindRequest& request,
                           const std::string& missing, bool complete) {
   m_log->Write(LogEvent::kScan, {{"asked_for", request.id},
@@ -275,13 +275,13 @@
   };
   const int next_partition =
       ChoosePartition((pending->partition + 1) % kTurnPartitions);
-  const bool another = !m_reader.IsUnavailable(next_partition) &&
-                       !pending->tried.contains(next_partition);
-  if (another) {
+  const bool try_next = !m_reader.IsUnavailable(next_partition) &&
+                        !pending->tried.contains(next_partition);
+  if (try_next) {
     pending->partition = next_partition;
     SendAppend(pending);
   }
-  if (another && pending->tried.size() == 2) {
+  if (try_next && pending->tried.size() == 2) {
     retry(m_thresholds->log_patience);
     return;
   }
