--- a/src/yuccawick/gateway/appender.cc
+++ b/src/yuccawick/gateway/appender.cc
@@ -113,14 +113,14 @@
   // up stored twice are deduplicated by their readers.
   if (error.failure == StoreFailure::kOutOfOrder) BeginEpoch();
   // A timeout below log_timeout does not yet mean that the log is unavailable.
-  const bool     waited_long = m_timeout >= m_thresholds->log_timeout;
+  const bool     waited_log_timeout = m_timeout >= m_thresholds->log_timeout;
   const bool     no_answer = error.failure == StoreFailure::kUnknown;
   const Duration elapsed = m_loop->now() - m_sent_at;
   // Without a lower bound, a log that resets connections at once would be
   // called in a tight loop.
   const Duration pause =
       no_answer ? m_timeout - elapsed : m_thresholds->log_away_pause;
-  if (waited_long || !no_answer) m_health->Observe(false, "append");
+  if (waited_log_timeout || !no_answer) m_health->Observe(false, "append");
   m_timeout = std::min(2 * m_timeout, m_thresholds->log_timeout);
   DropUnwanted();
   m_loop->After(std::max<Duration>(0, pause), [this] { Send(); });
--- a/src/yuccawick/gateway/backends.cc
+++ b/src/yuccawick/gateway/backends.cc
@@ -317,7 +317,7 @@
   const auto scope = traffic::ChooseAffinityScope(
       prompt.tokens, prompt.memory_part, m_thresholds->placement);
   std::vector<traffic::Candidate> all_candidates;
-  std::vector<traffic::Candidate> fast;
+  std::vector<traffic::Candidate> unslowed_candidates;
   for (const auto* server :
        servers.pool.Around(prompt.program, scope, kAffinityCandidates)) {
     const State* state = FindUsable(server->id, service, avoid);
@@ -326,10 +326,12 @@
     candidate.server = server;
     candidate.same_zone = server->zone == m_zone;
     all_candidates.push_back(candidate);
-    if (!state->slowdown.slow()) fast.push_back(candidate);
+    if (!state->slowdown.slow()) unslowed_candidates.push_back(candidate);
   }
-  return traffic::PreferredServer(prompt.program,
-                                  fast.empty() ? all_candidates : fast, scope);
+  return traffic::PreferredServer(
+      prompt.program,
+      unslowed_candidates.empty() ? all_candidates : unslowed_candidates,
+      scope);
 }
 
 void Backends::FillObservations(const State&        state,
@@ -472,9 +474,9 @@
   const auto service = m_services.find(state.server.service);
   if (service == m_services.end()) return;
   const Time now = m_loop->now();
-  const auto seen = service->second.baseline.Compare(
+  const auto observed_slowdown = service->second.baseline.Compare(
       kind, service_time, state.slowdown.At(now), now);
-  if (seen) state.slowdown.Observe(*seen, now);
+  if (observed_slowdown) state.slowdown.Observe(*observed_slowdown, now);
 }
 
 void Backends::UpdateSlowdowns(Service* service) {
--- a/src/yuccawick/gateway/exchange.cc
+++ b/src/yuccawick/gateway/exchange.cc
@@ -56,13 +56,13 @@
 }
 
 bool Exchange::Fire(AttemptEvent event) {
-  const bool moved = traffic::GetAttemptChart().Fire(&m_phase, event);
-  if (!moved) {
+  const bool event_accepted = traffic::GetAttemptChart().Fire(&m_phase, event);
+  if (!event_accepted) {
     m_parts.log->Write(LogEvent::kFault, {{"request", m_info.attempt},
                                           {"phase", Name(m_phase)},
                                           {"event", static_cast<int>(event)}});
   }
-  return moved;
+  return event_accepted;
 }
 
 void Exchange::UpdateMemoryCharge() {
@@ -95,9 +95,10 @@
 // waited or the process was suspended.
 bool Exchange::EnsureKeyValid() {
   if (m_workspace == nullptr) return true;
-  const auto& newest = (*m_parts.routes)->manifest()->workspaces;
-  const bool  key_known = !newest || newest->FindByKey(m_info.key) != nullptr;
-  const bool  lease_valid = m_parts.key_lease->Holds(m_parts.loop->ReadClock());
+  const auto& newest_workspaces = (*m_parts.routes)->manifest()->workspaces;
+  const bool  key_known =
+      !newest_workspaces || newest_workspaces->FindByKey(m_info.key) != nullptr;
+  const bool lease_valid = m_parts.key_lease->Holds(m_parts.loop->ReadClock());
   if (key_known && lease_valid) return true;
   if (m_head_forwarded) {
     AbortAnswer("key_gone");
@@ -255,13 +256,13 @@
     Dispatch();
     return;
   }
-  const auto same = m_parts.backends->Find(m_server_id);
-  if (!same) {
+  const auto same_server = m_parts.backends->Find(m_server_id);
+  if (!same_server) {
     // The server has been removed meanwhile, so another server may be used.
     Dispatch();
     return;
   }
-  SendTo(*same, true);
+  SendTo(*same_server, true);
 }
 
 // Ending ---------------------------------------------------------------------
@@ -284,26 +285,26 @@
 Duration Exchange::RetryAfter(Refusal refusal) const {
   if (!traffic::IsRetriable(refusal)) return -1;
   const Thresholds& limits = *m_parts.thresholds;
-  Duration          mean = limits.return_delay;
+  Duration          mean_delay = limits.return_delay;
   if (refusal == Refusal::kNotReady) {
-    mean = std::clamp(m_parts.loop->now() - m_parts.started, limits.start_delay,
-                      limits.outage_return);
+    mean_delay = std::clamp(m_parts.loop->now() - m_parts.started,
+                            limits.start_delay, limits.outage_return);
   }
   if (refusal == Refusal::kOverLimit) {
-    mean = std::max(m_rate_retry_delay, limits.return_delay);
+    mean_delay = std::max(m_rate_retry_delay, limits.return_delay);
   }
-  if (refusal == Refusal::kNoRoom) mean = m_reservation.retry_delay;
+  if (refusal == Refusal::kNoRoom) mean_delay = m_reservation.retry_delay;
   if (IsLogOutage(refusal)) {
     const auto outage = OutageAge();
     if (outage && *outage >= limits.log_wait && m_deadline > 0) {
       return traffic::OutageRetryDelay(TimeLeft(), UniformRandom());
     }
-    mean = std::clamp(m_parts.peers->LongestOutage(), limits.return_delay,
-                      limits.outage_return);
+    mean_delay = std::clamp(m_parts.peers->LongestOutage(), limits.return_delay,
+                            limits.outage_return);
   }
   // Jitter of 0.5 to 1.5 times the mean, so that clients refused together do
   // not retry together.
-  return static_cast<Duration>(static_cast<double>(mean) *
+  return static_cast<Duration>(static_cast<double>(mean_delay) *
                                (0.5 + UniformRandom()));
 }
 
--- a/src/yuccawick/gateway/exchange_answer.cc
+++ b/src/yuccawick/gateway/exchange_answer.cc
@@ -122,9 +122,9 @@
   const auto events = static_cast<double>(m_event_count - before);
   if (events <= 0) return;
   const Time now = m_parts.loop->now();
-  const Time last = std::exchange(m_last_event_time, now);
-  if (last == 0) return;
-  const auto elapsed = static_cast<double>(now - last);
+  const Time previous_event_time = std::exchange(m_last_event_time, now);
+  if (previous_event_time == 0) return;
+  const auto elapsed = static_cast<double>(now - previous_event_time);
   m_parts.backends->ObserveServiceTime(m_server_id, kEventServiceKind,
                                        elapsed / events);
 }
--- a/src/yuccawick/gateway/exchange_prepare.cc
+++ b/src/yuccawick/gateway/exchange_prepare.cc
@@ -45,9 +45,9 @@
 // only this node is cut off from the log, so that the client can use another.
 void Exchange::WaitForKeyLease() {
   if (m_client == nullptr) return;
-  const bool keyed =
+  const bool needs_key =
       m_routes->manifest()->workspaces.has_value() && !m_route->is_public;
-  if (keyed && !m_parts.key_lease->Holds(m_parts.loop->ReadClock())) {
+  if (needs_key && !m_parts.key_lease->Holds(m_parts.loop->ReadClock())) {
     m_wait_refusal = Refusal::kKeyUnsure;
     const bool isolated =
         !OutageAge() && m_parts.turns->reader().UnavailableFor() > 0;
@@ -108,9 +108,9 @@
   if (m_workspace == nullptr) {
     // The key may exist in a newer manifest: one that this node has not
     // received, or one that arrived while the request waited.
-    const bool newest =
+    const bool manifest_is_newest =
         m_parts.peers->FollowsManifest() && m_routes == *m_parts.routes;
-    Refuse(newest ? Refusal::kUnknownKey : Refusal::kKeyUnsure);
+    Refuse(manifest_is_newest ? Refusal::kUnknownKey : Refusal::kKeyUnsure);
     return false;
   }
   return true;
@@ -208,10 +208,10 @@
 }
 
 Duration Exchange::WaitTimeLeft() const {
-  const auto share =
+  const auto max_wait =
       static_cast<Duration>(m_parts.thresholds->wait_share *
                             static_cast<double>(m_deadline - m_start_time));
-  return m_start_time + share - m_parts.loop->now();
+  return m_start_time + max_wait - m_parts.loop->now();
 }
 
 // Limits the sum of all waits before sending, so that the client has time left
@@ -323,11 +323,11 @@
 
 void Exchange::EnqueueTurn() {
   m_wait_refusal = Refusal::kOverloaded;
-  const auto place = traffic::QueueRank(ScopedId(m_info.program), Priority(),
-                                        ProgramTimeLeft());
+  const auto queue_rank = traffic::QueueRank(ScopedId(m_info.program),
+                                             Priority(), ProgramTimeLeft());
   const auto self = shared_from_this();
   m_dispatch_id = m_parts.dispatcher->Enqueue(
-      m_service, place, m_route->target_latency, [this] {
+      m_service, queue_rank, m_route->target_latency, [this] {
         m_parts.loop->Cancel(&m_wait_timer);
         if (Fire(AttemptEvent::kPrepared)) Dispatch();
       });
--- a/src/yuccawick/gateway/gateway.cc
+++ b/src/yuccawick/gateway/gateway.cc
@@ -144,8 +144,9 @@
                        const std::optional<programs::NodeInfo>& node) {
   if (name == m_settings.node) {
     // A delayed write of an earlier run replaced or removed this node's entry.
-    const bool mine = node && node->incarnation == m_members.self().incarnation;
-    if (!mine && !m_stopping) Announce();
+    const bool is_this_run =
+        node && node->incarnation == m_members.self().incarnation;
+    if (!is_this_run && !m_stopping) Announce();
   } else if (node) {
     m_members.Put(*node);
   } else {
@@ -209,9 +210,11 @@
 }
 
 bool Gateway::ShouldYieldClients() const {
-  const bool fresh = m_routes == nullptr || !m_routes->manifest()->workspaces ||
-                     !m_key_lease.IsExpiring(m_loop->now());
-  return m_peers.IsIsolated() || (!fresh && m_peers.OthersReachLog());
+  const bool keys_remain_valid = m_routes == nullptr ||
+                                 !m_routes->manifest()->workspaces ||
+                                 !m_key_lease.IsExpiring(m_loop->now());
+  return m_peers.IsIsolated() ||
+         (!keys_remain_valid && m_peers.OthersReachLog());
 }
 
 SmallAnswer Gateway::AnswerReadiness() const {
@@ -254,17 +257,17 @@
   }
   m_turn_charge.Set(history.bytes());
   if (m_memory->Update(m_loop->now())) {
-    const auto held = [this](pressure::MemoryKind kind) {
+    const auto bytes_held = [this](pressure::MemoryKind kind) {
       return m_memory->used(kind);
     };
     m_log->Write(LogEvent::kPressure,
                  {{"level", Name(m_memory->level())},
                   {"held", m_memory->total()},
                   {"bound", m_memory->bound()},
-                  {"requests", held(pressure::MemoryKind::kRequests)},
-                  {"to_clients", held(pressure::MemoryKind::kToClients)},
-                  {"to_servers", held(pressure::MemoryKind::kToServers)},
-                  {"turns", held(pressure::MemoryKind::kTurns)},
+                  {"requests", bytes_held(pressure::MemoryKind::kRequests)},
+                  {"to_clients", bytes_held(pressure::MemoryKind::kToClients)},
+                  {"to_servers", bytes_held(pressure::MemoryKind::kToServers)},
+                  {"turns", bytes_held(pressure::MemoryKind::kTurns)},
                   {"connections", m_clients.size()}});
   }
   if (m_memory->level() == pressure::PressureLevel::kFull) DropStalledClients();
--- a/src/yuccawick/gateway/rate_coordinator.cc
+++ b/src/yuccawick/gateway/rate_coordinator.cc
@@ -257,10 +257,10 @@
       },
       [this, before, end, count, from] {
         const auto ages = workspaces::MinAges(*before);
-        const bool covered = from == 0 || ages.empty() ||
-                             before->front().offset > from ||
-                             ages.front() >= m_allocator.ledger().Span();
-        if (!covered && count < kMaxTailRecords) {
+        const bool window_covered = from == 0 || ages.empty() ||
+                                    before->front().offset > from ||
+                                    ages.front() >= m_allocator.ledger().Span();
+        if (!window_covered && count < kMaxTailRecords) {
           ReadBack(end, 4 * count);
           return;
         }
--- a/src/yuccawick/gateway/rate_limiter.cc
+++ b/src/yuccawick/gateway/rate_limiter.cc
@@ -217,9 +217,10 @@
 void RateLimiter::RequestMore(const std::string& workspace) {
   WorkspaceState& state = m_workspaces[workspace];
   const Time      now = m_loop->now();
-  const bool      ahead =
+  const bool      request_ahead =
       now < state.plenty_until && state.pool.Available(now) < kLowWatermark;
-  if (state.request_pending || (state.waiting.empty() && !ahead)) return;
+  if (state.request_pending || (state.waiting.empty() && !request_ahead))
+    return;
   state.request_pending = true;
   RequestFromRank(BuildRequest(workspace, &state), 0, m_loop->now());
 }
@@ -304,11 +305,11 @@
   state.request_pending = false;
   if (response.scarce) state.scarce_until = m_loop->now() + kSupplyReportTtl;
   state.plenty_until = response.plenty ? m_loop->now() + kSupplyReportTtl : 0;
-  const auto paid = std::min<std::int64_t>(state.debt, response.tokens);
-  state.debt -= paid;
+  const auto paid_debt = std::min<std::int64_t>(state.debt, response.tokens);
+  state.debt -= paid_debt;
   // Validity starts at the request, since the transit time is unknown.
-  state.pool.Add(
-      {response.tokens - paid, requested_at + response.valid, response.origin});
+  state.pool.Add({response.tokens - paid_debt, requested_at + response.valid,
+                  response.origin});
   for (Waiter& waiter : state.waiting) {
     const auto& admitted_programs = response.may_go_on;
     if (std::find(admitted_programs.begin(), admitted_programs.end(),
--- a/src/yuccawick/gateway/token_coordinator.cc
+++ b/src/yuccawick/gateway/token_coordinator.cc
@@ -134,8 +134,8 @@
   // Claims and reads are retried until the log is back. Waiting for them would
   // only delay each turn by `home_answer`, so the requester tries the
   // coordinator next in rank at once.
-  const bool stalled = m_appender.busy() || !m_caught_up;
-  if (m_health.unavailable() && stalled) return ReserveOutcome::kUnsure;
+  const bool waits_for_log = m_appender.busy() || !m_caught_up;
+  if (m_health.unavailable() && waits_for_log) return ReserveOutcome::kUnsure;
   return std::nullopt;
 }
 
@@ -212,8 +212,9 @@
 
 programs::Tokens TokenCoordinator::TokensAhead(const Account& account) const {
   const auto budget = account.tokens.budget();
-  const bool small = budget < m_thresholds->ahead_turns * account.max_tokens;
-  if (small || account.spent) return 0;
+  const bool budget_is_small =
+      budget < m_thresholds->ahead_turns * account.max_tokens;
+  if (budget_is_small || account.spent) return 0;
   return std::max(account.max_tokens, budget / m_thresholds->ahead_divisor);
 }
 
@@ -285,8 +286,9 @@
     account.spent = true;
     // Any request that lacks as many tokens would be denied too.
     for (PendingRequest& request : account.waiting) {
-      const auto lacks = request.turn.max_tokens - account.tokens.Available();
-      request.denied = request.denied || lacks >= need;
+      const auto missing_tokens =
+          request.turn.max_tokens - account.tokens.Available();
+      request.denied = request.denied || missing_tokens >= need;
     }
   }
   Serve(program);
--- a/src/yuccawick/gateway/turn_reader.cc
+++ b/src/yuccawick/gateway/turn_reader.cc
@@ -146,9 +146,10 @@
   scan.records_read += page.records.size();
   // A stale response, or a page without the records that exist: neither proves
   // that a turn does not exist.
-  const bool stale = page.end < from;
-  const bool withheld = page.records.empty() && (!at_end || from < page.end);
-  if (stale || withheld) {
+  const bool is_stale = page.end < from;
+  const bool records_missing =
+      page.records.empty() && (!at_end || from < page.end);
+  if (is_stale || records_missing) {
     EndScan(partition, false);
     return;
   }
@@ -269,11 +270,11 @@
 }
 
 Duration TurnReader::UnavailableFor() const {
-  Duration least = m_scans.front().health->UnavailableFor();
+  Duration shortest_outage = m_scans.front().health->UnavailableFor();
   for (const ScanState& scan : m_scans) {
-    least = std::min(least, scan.health->UnavailableFor());
+    shortest_outage = std::min(shortest_outage, scan.health->UnavailableFor());
   }
-  return least;
+  return shortest_outage;
 }
 
 void TurnReader::Probe() {
