--- a/src/yuccawick/gateway/exchange_answer.cc
+++ b/src/yuccawick/gateway/exchange_answer.cc
@@ -18,13 +18,13 @@
 
 constexpr int                kOk = 200;
 constexpr int                kMaxSuccessStatus = 299;
-// Statuses that suggest that the request did not run. The server states that
-// only with AnswerInfo::not_run.
+// Statuses that suggest that the request did not run. Only
+// AnswerInfo::not_run states it explicitly.
 constexpr std::array<int, 4> kNotRunStatuses{408, 421, 429, 503};
 // Unsent bytes per client above which reading from the server is paused.
 constexpr std::size_t        kMaxBacklog = 256UL * 1024;
 // Answers up to this size (bytes) are buffered before forwarding, so that a
-// truncated one can still be retried or reported as a failure.
+// truncated answer can still be retried or reported as a failure.
 constexpr std::size_t        kMaxBufferedAnswer = 256UL * 1024;
 constexpr double             kMillisPerSecond = 1000.0;
 // Kind of the service time of stream events, shared by all routes; no route
@@ -55,7 +55,7 @@
     if (m_answer_info.stamped && !m_answer_info.encoded) ForwardEvents(bytes);
     return;
   }
-  // The body of an answer that is not forwarded is not needed.
+  // The body is needed only if the answer is forwarded.
   const bool may_pass = IsAnswerValid() && !m_answer_info.not_run &&
                         !SuggestsNotRun(m_answer.status);
   if (!may_pass) return;
@@ -122,11 +122,11 @@
   const auto events = static_cast<double>(m_event_count - before);
   if (events <= 0) return;
   const Time now = m_parts.loop->now();
-  const Time last = std::exchange(m_last_event_time, now);
-  if (last == 0) return;
-  const auto took = static_cast<double>(now - last);
+  const Time previous_event_time = std::exchange(m_last_event_time, now);
+  if (previous_event_time == 0) return;
+  const auto elapsed = static_cast<double>(now - previous_event_time);
   m_parts.backends->ObserveServiceTime(m_server_id, kEventServiceKind,
-                                       took / events);
+                                       elapsed / events);
 }
 
 void Exchange::ClientDrained() {
@@ -224,8 +224,9 @@
 void Exchange::FinishAnswer(std::string_view last_bytes) {
   m_client->WriteToClient(last_bytes);
   m_parts.metrics->CountAnswer(m_route->kind);
-  const Duration took = m_parts.loop->now() - m_start_time;
-  m_parts.metrics->ObserveAnswer(static_cast<double>(took) / kMillisPerSecond);
+  const Duration elapsed = m_parts.loop->now() - m_start_time;
+  m_parts.metrics->ObserveAnswer(static_cast<double>(elapsed) /
+                                 kMillisPerSecond);
   m_parts.log->Write(
       LogEvent::kAnswered,
       {{"request", m_info.attempt},
@@ -236,7 +237,7 @@
         m_first_event_time == 0 ? 0 : m_first_event_time - m_start_time},
        {"turn_partition", m_log_position.partition},
        {"turn_offset", m_log_position.offset},
-       {"took_ms", took}});
+       {"took_ms", elapsed}});
   ClientSide* client = m_client;
   End();
   client->AnswerDone();
--- a/src/yuccawick/gateway/exchange_prepare.cc
+++ b/src/yuccawick/gateway/exchange_prepare.cc
@@ -45,9 +45,9 @@
 // only this node is cut off from the log, so that the client can use another.
 void Exchange::WaitForKeyLease() {
   if (m_client == nullptr) return;
-  const bool keyed =
+  const bool needs_key =
       m_routes->manifest()->workspaces.has_value() && !m_route->is_public;
-  if (keyed && !m_parts.key_lease->Holds(m_parts.loop->ReadClock())) {
+  if (needs_key && !m_parts.key_lease->Holds(m_parts.loop->ReadClock())) {
     m_wait_refusal = Refusal::kKeyUnsure;
     const bool isolated =
         !OutageAge() && m_parts.turns->reader().UnavailableFor() > 0;
@@ -75,7 +75,7 @@
 }
 
 void Exchange::Reject(Refusal refusal) {
-  // Decodes the attempt id for the answer, if there is one.
+  // Decodes the attempt id, if the request has one, for the answer.
   platform::DecodeRequest(m_head, &m_info);
   Refuse(refusal);
 }
@@ -108,9 +108,9 @@
   if (m_workspace == nullptr) {
     // The key may exist in a newer manifest: one that this node has not
     // received, or one that arrived while the request waited.
-    const bool newest =
+    const bool manifest_is_newest =
         m_parts.peers->FollowsManifest() && m_routes == *m_parts.routes;
-    Refuse(newest ? Refusal::kUnknownKey : Refusal::kKeyUnsure);
+    Refuse(manifest_is_newest ? Refusal::kUnknownKey : Refusal::kKeyUnsure);
     return false;
   }
   return true;
@@ -142,8 +142,8 @@
 }
 
 bool Exchange::MayWaitLonger() {
-  // Keeps the longest limit: the end of an outage shortens MaxLogWait(), and
-  // would refuse the requests that waited for it.
+  // Keeps the longest limit: MaxLogWait() is shorter after an outage, which
+  // would refuse the requests that waited for the end of the outage.
   m_max_log_wait = std::max(m_max_log_wait, MaxLogWait());
   const Duration waited = m_parts.loop->now() - m_start_time;
   return waited + m_parts.thresholds->log_wait_pause <= m_max_log_wait;
@@ -208,10 +208,10 @@
 }
 
 Duration Exchange::WaitTimeLeft() const {
-  const auto share =
+  const auto max_wait =
       static_cast<Duration>(m_parts.thresholds->wait_share *
                             static_cast<double>(m_deadline - m_start_time));
-  return m_start_time + share - m_parts.loop->now();
+  return m_start_time + max_wait - m_parts.loop->now();
 }
 
 // Limits the sum of all waits before sending, so that the client has time left
@@ -285,8 +285,9 @@
   m_reserved = reserved;
   m_reservation = reservation;
   if (reserved) {
-    const bool known = !reservation.server.empty() && !SessionKey().empty();
-    if (known)
+    const bool server_known =
+        !reservation.server.empty() && !SessionKey().empty();
+    if (server_known)
       m_parts.backends->RememberSession(SessionKey(), reservation.server);
     OnPrepared();
   } else {
@@ -322,11 +323,11 @@
 
 void Exchange::EnqueueTurn() {
   m_wait_refusal = Refusal::kOverloaded;
-  const auto place = traffic::QueueRank(ScopedId(m_info.program), Priority(),
-                                        ProgramTimeLeft());
+  const auto queue_rank = traffic::QueueRank(ScopedId(m_info.program),
+                                             Priority(), ProgramTimeLeft());
   const auto self = shared_from_this();
   m_dispatch_id = m_parts.dispatcher->Enqueue(
-      m_service, place, m_route->target_latency, [this] {
+      m_service, queue_rank, m_route->target_latency, [this] {
         m_parts.loop->Cancel(&m_wait_timer);
         if (Fire(AttemptEvent::kPrepared)) Dispatch();
       });
--- a/src/yuccawick/gateway/gateway.cc
+++ b/src/yuccawick/gateway/gateway.cc
@@ -144,8 +144,9 @@
                        const std::optional<programs::NodeInfo>& node) {
   if (name == m_settings.node) {
     // A delayed write of an earlier run replaced or removed this node's entry.
-    const bool mine = node && node->incarnation == m_members.self().incarnation;
-    if (!mine && !m_stopping) Announce();
+    const bool is_this_run =
+        node && node->incarnation == m_members.self().incarnation;
+    if (!is_this_run && !m_stopping) Announce();
   } else if (node) {
     m_members.Put(*node);
   } else {
@@ -162,11 +163,12 @@
 
 void Gateway::TakeManifest(const traffic::ManifestPtr& manifest) {
   m_routes = std::make_shared<traffic::RouteTable>(manifest);
-  Duration longest = 0;
+  Duration max_retention = 0;
   for (const traffic::Route& route : manifest->routes) {
-    if (route.keeps_turns) longest = std::max(longest, route.retention);
+    if (route.keeps_turns)
+      max_retention = std::max(max_retention, route.retention);
   }
-  if (longest > 0) m_turns.reader().SetRetention(longest);
+  if (max_retention > 0) m_turns.reader().SetRetention(max_retention);
 }
 
 void Gateway::TakeServers(const traffic::ServerListPtr& servers) {
@@ -208,9 +210,11 @@
 }
 
 bool Gateway::ShouldYieldClients() const {
-  const bool fresh = m_routes == nullptr || !m_routes->manifest()->workspaces ||
-                     !m_key_lease.IsExpiring(m_loop->now());
-  return m_peers.IsIsolated() || (!fresh && m_peers.OthersReachLog());
+  const bool keys_remain_valid = m_routes == nullptr ||
+                                 !m_routes->manifest()->workspaces ||
+                                 !m_key_lease.IsExpiring(m_loop->now());
+  return m_peers.IsIsolated() ||
+         (!keys_remain_valid && m_peers.OthersReachLog());
 }
 
 SmallAnswer Gateway::AnswerReadiness() const {
@@ -243,9 +247,9 @@
 void Gateway::WatchMemory() {
   if (!m_memory->bounded()) return;
   auto& history = m_turns.history();
-  if (const auto left = m_memory->TurnBytesTarget(history.bytes())) {
+  if (const auto target_bytes = m_memory->TurnBytesTarget(history.bytes())) {
     const auto before = history.size();
-    history.Shrink(*left);
+    history.Shrink(*target_bytes);
     m_log->Write(LogEvent::kPressure,
                  {{"turns_dropped", before - history.size()},
                   {"turns_left", history.size()},
@@ -253,17 +257,17 @@
   }
   m_turn_charge.Set(history.bytes());
   if (m_memory->Update(m_loop->now())) {
-    const auto held = [this](pressure::MemoryKind kind) {
+    const auto bytes_held = [this](pressure::MemoryKind kind) {
       return m_memory->used(kind);
     };
     m_log->Write(LogEvent::kPressure,
                  {{"level", Name(m_memory->level())},
                   {"held", m_memory->total()},
                   {"bound", m_memory->bound()},
-                  {"requests", held(pressure::MemoryKind::kRequests)},
-                  {"to_clients", held(pressure::MemoryKind::kToClients)},
-                  {"to_servers", held(pressure::MemoryKind::kToServers)},
-                  {"turns", held(pressure::MemoryKind::kTurns)},
+                  {"requests", bytes_held(pressure::MemoryKind::kRequests)},
+                  {"to_clients", bytes_held(pressure::MemoryKind::kToClients)},
+                  {"to_servers", bytes_held(pressure::MemoryKind::kToServers)},
+                  {"turns", bytes_held(pressure::MemoryKind::kTurns)},
                   {"connections", m_clients.size()}});
   }
   if (m_memory->level() == pressure::PressureLevel::kFull) DropStalledClients();
@@ -335,7 +339,7 @@
   }
 }
 
-// Covers the whole process, including the control thread.
+// The logged usage covers the whole process, including the control thread.
 void Gateway::WriteLogUsage() {
   if (m_loop->now() - m_usage_logged_at < kLogUsageInterval) return;
   m_usage_logged_at = m_loop->now();
@@ -373,9 +377,9 @@
 }
 
 void Gateway::CloseIdle() {
-  std::vector<ClientConnection*> all;
-  for (const auto& [raw, owned] : m_clients) all.push_back(raw);
-  for (ClientConnection* connection : all) connection->CloseIfIdle();
+  std::vector<ClientConnection*> connections;
+  for (const auto& [raw, owned] : m_clients) connections.push_back(raw);
+  for (ClientConnection* connection : connections) connection->CloseIfIdle();
 }
 
 void Gateway::FinishWhenIdle() {
--- a/src/yuccawick/gateway/token_coordinator.cc
+++ b/src/yuccawick/gateway/token_coordinator.cc
@@ -95,7 +95,7 @@
   } else {
     Balance(program, &account);
   }
-  // Last, because a callback may call Reserve() again.
+  // Called last, because a callback may call Reserve() again.
   for (const Decision& decision : decisions) decision.done(decision.outcome);
 }
 
@@ -134,8 +134,8 @@
   // Claims and reads are retried until the log is back. Waiting for them would
   // only delay each turn by `home_answer`, so the requester tries the
   // coordinator next in rank at once.
-  const bool stalled = m_appender.busy() || !m_caught_up;
-  if (m_health.unavailable() && stalled) return ReserveOutcome::kUnsure;
+  const bool waits_for_log = m_appender.busy() || !m_caught_up;
+  if (m_health.unavailable() && waits_for_log) return ReserveOutcome::kUnsure;
   return std::nullopt;
 }
 
@@ -154,7 +154,7 @@
   const bool unavailable = !request->denied && m_health.unavailable();
   CancelAdmission(*request);
   waiting.erase(request);
-  // The tokens held for it may be released now.
+  // The tokens held for this request may be released now.
   Serve(program);
   done(unavailable ? ReserveOutcome::kUnsure : ReserveOutcome::kHold);
 }
@@ -212,8 +212,9 @@
 
 programs::Tokens TokenCoordinator::TokensAhead(const Account& account) const {
   const auto budget = account.tokens.budget();
-  const bool small = budget < m_thresholds->ahead_turns * account.max_tokens;
-  if (small || account.spent) return 0;
+  const bool budget_is_small =
+      budget < m_thresholds->ahead_turns * account.max_tokens;
+  if (budget_is_small || account.spent) return 0;
   return std::max(account.max_tokens, budget / m_thresholds->ahead_divisor);
 }
 
@@ -254,7 +255,7 @@
   m_appended.emplace(offset, record);
   if (m_caught_up) ApplyAppended();
   if (m_next_offset > offset) return;
-  // Other nodes' records precede it.
+  // Records of other nodes precede this record.
   m_read_until = std::max(m_read_until, offset + 1);
   ReadClaims();
 }
@@ -283,10 +284,11 @@
                                   {"granted", granted}});
   if (granted == 0) {
     account.spent = true;
-    // Any request that lacks as much would be denied too.
+    // Any request that lacks as many tokens would be denied too.
     for (PendingRequest& request : account.waiting) {
-      const auto lacks = request.turn.max_tokens - account.tokens.Available();
-      request.denied = request.denied || lacks >= need;
+      const auto missing_tokens =
+          request.turn.max_tokens - account.tokens.Available();
+      request.denied = request.denied || missing_tokens >= need;
     }
   }
   Serve(program);
@@ -326,11 +328,12 @@
 void TokenCoordinator::SkipTo(std::int64_t first) {
   m_next_offset = first;
   m_ledger = {};
-  // Own claims among them were decided, but the outcome cannot be read.
-  std::vector<std::uint64_t> open;
-  for (const auto& [number, claim] : m_claims) open.push_back(number);
+  // Own claims among the deleted records were decided, but the outcome cannot
+  // be read.
+  std::vector<std::uint64_t> open_claims;
+  for (const auto& [number, claim] : m_claims) open_claims.push_back(number);
   if (!m_appender.busy()) {
-    for (const std::uint64_t number : open) OnClaimRefused(number);
+    for (const std::uint64_t number : open_claims) OnClaimRefused(number);
   }
   ReadPage();
 }
@@ -360,10 +363,10 @@
                 [this, began = m_loop->now()](
                     const StoreResult<platform::ReadPage>& result) {
                   m_reading = false;
-                  const Duration took = m_loop->now() - began;
+                  const Duration elapsed = m_loop->now() - began;
                   if (result) {
-                    m_read_size.OnReply(took);
-                  } else if (took >= m_thresholds->log_timeout) {
+                    m_read_size.OnReply(elapsed);
+                  } else if (elapsed >= m_thresholds->log_timeout) {
                     m_read_size.OnTimeout();
                   }
                   const bool expired = !result && result.error().failure ==
@@ -388,7 +391,7 @@
 }
 
 void TokenCoordinator::ApplyPage(const platform::ReadPage& page) {
-  // Applying a record may trigger a read; prevents a second one from here.
+  // Applying a record may trigger a read; while m_reading is set, none starts.
   m_reading = true;
   for (const auto& record : page.records) {
     if (record.offset < m_next_offset)
@@ -414,17 +417,17 @@
 
 // Releases -------------------------------------------------------------------
 
-// Delayed, because the next turn may need the tokens, and so that one append
-// carries several releases.
+// Releases are delayed because the next turn may need the tokens, and so that
+// one append carries several releases.
 void TokenCoordinator::ScheduleReleases() {
   if (std::exchange(m_release_scheduled, true)) return;
   m_loop->After(m_thresholds->give_back_delay, [this] {
     m_release_scheduled = false;
-    std::vector<std::string> due;
+    std::vector<std::string> due_programs;
     for (const auto& [program, time] : m_release_at) {
-      if (time <= m_loop->now()) due.push_back(program);
+      if (time <= m_loop->now()) due_programs.push_back(program);
     }
-    for (const std::string& program : due) {
+    for (const std::string& program : due_programs) {
       m_release_at.erase(program);
       const auto account = m_accounts.find(program);
       if (account != m_accounts.end()) Release(program, &account->second);
