--- a/tests/placement_test.cc
+++ b/tests/placement_test.cc
@@ -1,5 +1,6 @@
-// Placement by expected end time: unequal servers, stale reports, zones with
-// more demand than servers, services of any size.
+// Tests placement by expected end time: with servers of unequal speed, outdated
+// load reports, zones whose demand exceeds their capacity, and services of few
+// and many servers.
 #include "yuccawick/traffic/placement.h"
 
 #include <criterion/criterion.h>
@@ -54,10 +55,10 @@
   return servers;
 }
 
-// Simulates servers that run `kSlots` requests at a time, and nodes that place
-// them. A node knows its own requests in the current step, and the load of the
-// other nodes of its zone at the beginning of the step, a quarter of a median
-// turn ago. It knows nothing about nodes of other zones.
+// Simulates servers that each run up to `kSlots` requests at a time, and nodes
+// that place the requests. A step is a quarter of a median turn. A node knows
+// the requests it placed itself in the current step, and the load from its zone
+// at the beginning of the step. It knows nothing about nodes of other zones.
 class Simulation {
  public:
   Simulation(const std::vector<int>& servers_of_zones,
@@ -68,17 +69,20 @@
         m_completed(m_servers.size()) {}
 
   // Runs for `turns` median turns, with `arrivals` requests per turn in each
-  // zone. `known(node, server)`: the slowdown that the node assumes.
-  template <class Known>
-  void Run(int turns, const std::vector<double>& arrivals, Known known) {
-    std::vector<double> due(kZones);
+  // zone. `assumed_slowdown(node, server)`: the slowdown that the node assumes
+  // for the server.
+  template <class AssumedSlowdown>
+  void Run(int turns, const std::vector<double>& arrivals,
+           AssumedSlowdown assumed_slowdown) {
+    std::vector<double> unplaced(kZones);
     for (int step = 0; step < turns * kStepsInATurn; ++step) {
       m_stale = m_load;
       m_own.assign(kNodesOfAZone, {});
       for (std::size_t zone = 0; zone < kZones; ++zone) {
         for (auto& own : m_own) own.assign(m_servers.size(), 0);
-        due[zone] += arrivals[zone] / kStepsInATurn;
-        for (; due[zone] >= 1; due[zone] -= 1) Place(zone, known);
+        unplaced[zone] += arrivals[zone] / kStepsInATurn;
+        for (; unplaced[zone] >= 1; unplaced[zone] -= 1)
+          Place(zone, assumed_slowdown);
       }
       for (std::size_t k = 0; k < m_servers.size(); ++k) Advance(k);
     }
@@ -100,13 +104,13 @@
     return std::accumulate(at(first), at(last), 0.0);
   }
   double Completed(std::size_t server) const { return m_completed[server]; }
-  double longest() const { return m_longest; }
+  double max_load() const { return m_max_load; }
 
  private:
   static constexpr int kStepsInATurn = 4;
 
-  template <class Known>
-  void Place(std::size_t zone, Known known) {
+  template <class AssumedSlowdown>
+  void Place(std::size_t zone, AssumedSlowdown assumed_slowdown) {
     const std::size_t      node = m_random() % kNodesOfAZone;
     std::vector<Candidate> candidates;
     for (std::size_t k = 0; k < m_servers.size(); ++k) {
@@ -115,7 +119,7 @@
       candidate.local_load = m_own[node][k];
       candidate.same_zone = m_servers[k].zone == kZoneNames[zone];
       candidate.peer_load = static_cast<int>(std::lround(m_stale[zone][k]));
-      candidate.slowdown = known(node, k);
+      candidate.slowdown = assumed_slowdown(node, k);
       candidates.push_back(candidate);
     }
     traffic::SampleCandidates(&candidates, {}, &m_random);
@@ -125,7 +129,7 @@
         m_servers.data());
     ++m_own[node][chosen];
     m_load[zone][chosen] += 1;
-    m_longest = std::max(m_longest, LoadAt(chosen));
+    m_max_load = std::max(m_max_load, LoadAt(chosen));
   }
   double LoadAt(std::size_t server) const {
     double sum = 0;
@@ -135,10 +139,10 @@
   void Advance(std::size_t server) {
     const double load = LoadAt(server);
     const double running = std::min<double>(load, kSlots);
-    const double worked = running / m_slowdowns[server] / kStepsInATurn;
-    const double share = load > 0 ? worked / load : 0;
+    const double completed = running / m_slowdowns[server] / kStepsInATurn;
+    const double share = load > 0 ? completed / load : 0;
     for (auto& of_zone : m_load) of_zone[server] *= std::max(0.0, 1.0 - share);
-    m_completed[server] += worked;
+    m_completed[server] += completed;
   }
 
   std::vector<BackendServer>          m_servers;
@@ -147,7 +151,7 @@
   std::vector<std::vector<double>>    m_load;   // from each zone
   std::vector<std::vector<double>>    m_stale;  // m_load when the step began
   std::vector<double>                 m_completed;
-  double                              m_longest = 0;
+  double                              m_max_load = 0;
   std::mt19937_64                     m_random{1};
   std::unique_ptr<traffic::Placement> m_placement =
       MakePlacement(PlacementKind::kSoonestEnd, {});
@@ -180,17 +184,18 @@
   simulation.Run(100, EvenDemand(all));
   const double fair = simulation.Completed(0, 45) / all * kSlots;
   for (std::size_t i = 0; i < slowdowns.size(); ++i) {
-    const double carried = simulation.Completed(i) * slowdowns[i] / fair;
-    cr_expect(carried > 0.9 && carried < 1.1, "%zu: %f", i, carried);
+    const double relative_rate = simulation.Completed(i) * slowdowns[i] / fair;
+    cr_expect(relative_rate > 0.9 && relative_rate < 1.1, "%zu: %f", i,
+              relative_rate);
   }
 }
 
 Test(SoonestEnd, DemandIsNearCapacity_NoEngineMustTurnWorkAway) {
-  // Engines queue up to three times their slots.
+  // Engines queue up to three times as many requests as they have slots.
   const auto slowdowns = UnequalSlowdowns(45);
   Simulation simulation(kServersOfZones, slowdowns);
   simulation.Run(100, EvenDemand(0.9 * TotalCapacity(slowdowns)));
-  cr_expect_lt(simulation.longest(), 4 * kSlots, "%f", simulation.longest());
+  cr_expect_lt(simulation.max_load(), 4 * kSlots, "%f", simulation.max_load());
 }
 
 Test(SoonestEnd, FastServersAreEnough_SlowOnesGetFewTurns) {
@@ -204,13 +209,12 @@
 }
 
 Test(SoonestEnd, ManyNodesSeeOneFastServer_DoNotOverloadIt) {
-  // Guards against a stampede: a fast server becomes known to all nodes at
-  // once.
+  // Guards against overload when all nodes learn of a fast server at once.
   std::vector<double> slowdowns(45, 2.0);
   slowdowns[0] = 1.0;
   Simulation simulation({45, 0, 0}, slowdowns);
   simulation.Run(50, {0.7 * TotalCapacity(slowdowns), 0.0, 0.0});
-  cr_expect_lt(simulation.longest(), 4 * kSlots, "%f", simulation.longest());
+  cr_expect_lt(simulation.max_load(), 4 * kSlots, "%f", simulation.max_load());
 }
 
 Test(SoonestEnd, NodesDisagreeAboutAServer_ItIsUsedAndNotOverloaded) {
@@ -222,18 +226,19 @@
                    return node % 2 == 0 && server == 0 ? 2.5 : 1.0;
                  });
   cr_expect_gt(simulation.Completed(0), 0.4 * simulation.Completed(0, 45) / 45);
-  cr_expect_lt(simulation.longest(), 4 * kSlots, "%f", simulation.longest());
+  cr_expect_lt(simulation.max_load(), 4 * kSlots, "%f", simulation.max_load());
 }
 
 Test(SoonestEnd, ZoneDemandExceedsCapacity_RestIsSharedInProportion) {
   Simulation simulation({12, 8, 16}, std::vector<double>(36, 1.0));
   simulation.Run(100, {1.5 * 12 * kSlots, 0.0, 0.0});
-  const double here = simulation.Completed(0, 12) / 12;
-  const double one = simulation.Completed(12, 20) / 8;
-  const double other = simulation.Completed(20, 36) / 16;
-  cr_expect_lt(std::abs(one / other - 1.0), 0.1, "%f, %f", one, other);
-  cr_expect_gt(here, 1.2 * other);
-  cr_expect_lt(simulation.longest(), 3 * kSlots, "%f", simulation.longest());
+  const double per_server_in_a = simulation.Completed(0, 12) / 12;
+  const double per_server_in_b = simulation.Completed(12, 20) / 8;
+  const double per_server_in_c = simulation.Completed(20, 36) / 16;
+  cr_expect_lt(std::abs(per_server_in_b / per_server_in_c - 1.0), 0.1, "%f, %f",
+               per_server_in_b, per_server_in_c);
+  cr_expect_gt(per_server_in_a, 1.2 * per_server_in_c);
+  cr_expect_lt(simulation.max_load(), 3 * kSlots, "%f", simulation.max_load());
 }
 
 Test(SoonestEnd, EqualServers_ChoiceIsThatOfZoneAndPrefix) {
@@ -271,7 +276,8 @@
   cr_expect_eq(placement->Choose(candidates, 0.5), 1);
 }
 
-// Guards against second copies that evict the prompts of pausing programs.
+// Guards against second copies of a prompt that evict the prompts of paused
+// programs.
 Test(SoonestEnd, MemoryOfServersIsShort_TurnStaysWithItsPrompt) {
   const auto             servers = MakeServers(2, "a");
   std::vector<Candidate> candidates(2);
@@ -396,16 +402,16 @@
 
 Test(Backends, PeersStopReporting_LastReportsCountUntilTheyExpire) {
   BackendsFixture                  fixture(2);
-  gateway::Backends::ServerReports some;
-  some["a0"].requests = 6;
-  gateway::Backends::ServerReports more = some;
-  more["a0"].requests = 12;
-  fixture.backends().SetPeerReport("x", more);
-  fixture.backends().SetPeerReport("x", some);
-  fixture.backends().SetPeerReport("y", more);
+  gateway::Backends::ServerReports small_report;
+  small_report["a0"].requests = 6;
+  gateway::Backends::ServerReports large_report = small_report;
+  large_report["a0"].requests = 12;
+  fixture.backends().SetPeerReport("x", large_report);
+  fixture.backends().SetPeerReport("x", small_report);
+  fixture.backends().SetPeerReport("y", large_report);
   cr_expect_float_eq(fixture.LoadOf("a0"), 3.0, 1e-9);
   fixture.Wait(500);
-  fixture.backends().SetPeerReport("y", some);
+  fixture.backends().SetPeerReport("y", small_report);
   fixture.Wait(500);
   fixture.backends().Sweep();
   cr_expect_float_eq(fixture.LoadOf("a0"), 1.0, 1e-9);
