--- a/tests/admission_test.cc
+++ b/tests/admission_test.cc
@@ -60,7 +60,7 @@
 
 struct Program {
   int    number = 0;
-  Time   due = 0;
+  Time   deadline = 0;
   Time   next = 0;  // time of the next event
   int    tries = 0;
   int    turns = 0;
@@ -175,7 +175,7 @@
   Program& Add(bool is_measured) {
     Program program;
     program.number = static_cast<int>(m_programs.size());
-    program.due = m_now + kProgramTime;
+    program.deadline = m_now + kProgramTime;
     program.next = m_now;
     program.is_measured = is_measured;
     program.server = program.number % kServers;
@@ -201,7 +201,7 @@
   void Admit(Program* program) {
     AdmissionRequest request = MakeRequest(program->number, program->Prompt());
     request.under_way = program->admitted;
-    request.left = program->due - m_now;
+    request.left = program->deadline - m_now;
     request.partition = program->number % kCoordinators;
     const auto decision =
         ControllerFor(*program).TryAdmit(request, kCapacity, m_now);
@@ -222,7 +222,7 @@
         MakeRequest(program->number, program->Prompt()), 100, m_now);
     if (++program->turns < kTurns) {
       program->next = m_now + kThinkTime;
-    } else if (program->is_measured && m_now <= program->due) {
+    } else if (program->is_measured && m_now <= program->deadline) {
       ++m_in_time;
     }
   }
@@ -313,7 +313,7 @@
   cr_assert(!next.Admit(MakeRequest(1000), 0));
 }
 
-// Guards against capacity that stays reserved for a peer that is gone.
+// Guards against capacity that stays reserved for a peer that has stopped.
 Test(Admission, PeerStopsReporting_ItsUsageExpires) {
   TestController test;
   test.controller.SetPeerUsage("other", {{7, {100, 100, 300'000}}}, 0);
--- a/tests/affinity_test.cc
+++ b/tests/affinity_test.cc
@@ -146,7 +146,7 @@
 
 Test(Affinity, ServerWithPromptHasMoreLoad_LongPromptsStayLonger) {
   // A short prompt is recomputed in a few steps; a long one delays all requests
-  // that run beside it.
+  // that run on the same server.
   cr_expect(Stays(kShortPrompt, 2));
   cr_expect_not(Stays(kShortPrompt, 3));
   cr_expect(Stays(kLongPrompt, 14));
@@ -154,16 +154,16 @@
 }
 
 Test(Affinity, SessionChangesZones_LongPromptsHaveOnePreferredServer) {
-  // Guards against recomputing long prompts in each zone that a session comes
-  // through. Short prompts cost less than cross-zone traffic.
+  // Guards against recomputing a long prompt in each zone from which its
+  // session sends requests. Short prompts cost less than cross-zone traffic.
   const traffic::PlacementWeights weights;
   cr_expect(ChooseAffinityScope(kLongPrompt, 0, weights) ==
             AffinityScope::kAllZones);
   cr_expect(ChooseAffinityScope(kShortPrompt, 0, weights) ==
             AffinityScope::kZone);
-  const auto here = MakeServers("a");
+  const auto servers_of_a = MakeServers("a");
   auto       servers = MakeServers("b");
-  servers.insert(servers.end(), here.begin(), here.end());
+  servers.insert(servers.end(), servers_of_a.begin(), servers_of_a.end());
   const auto seen_from_a = CandidatesOf(servers);
   auto       seen_from_b = seen_from_a;
   for (Candidate& each : seen_from_b) each.same_zone = !each.same_zone;
--- a/tests/budget_test.cc
+++ b/tests/budget_test.cc
@@ -143,7 +143,7 @@
 }
 
 Test(Budget, LoweredTotal_UnusedSlicesAreReleased) {
-  // Guards against slices that stay stranded although every holder is running.
+  // Guards against slices that stay unusable although every holder is running.
   SmallGroup s;
   SetBudget(s, 50'000, 64'000);
   SpendAll(s, 6, 1);
--- a/tests/capacity_test.cc
+++ b/tests/capacity_test.cc
@@ -61,8 +61,9 @@
   Simulate(&observer, 0, 5 * kSecond, &random);
   for (std::size_t i = 0; i < observer.slowdowns.size(); ++i) {
     const double expected = i % 3 == 2 ? 1.7 / 0.7 : 1.0;
-    const double known = observer.slowdowns[i].Lasting().factor;
-    cr_expect_lt(std::abs(known / expected - 1.0), 0.15, "%zu: %f", i, known);
+    const double estimate = observer.slowdowns[i].Lasting().factor;
+    cr_expect_lt(std::abs(estimate / expected - 1.0), 0.15, "%zu: %f", i,
+                 estimate);
     observer.slowdowns[i].UpdateSlow();
     cr_expect_eq(observer.slowdowns[i].slow(), i % 3 == 2);
   }
@@ -173,10 +174,10 @@
     for (Observer& node : nodes) node.Recenter();
   }
   for (std::size_t i = 0; i < 6; ++i) {
-    const double one = nodes[0].slowdowns[i].Lasting().factor;
-    const double other = nodes[1].slowdowns[i].Lasting().factor;
-    cr_expect_lt(std::abs(std::log(one / other)), 0.15, "%zu: %f, %f", i, one,
-                 other);
+    const double estimate_a = nodes[0].slowdowns[i].Lasting().factor;
+    const double estimate_b = nodes[1].slowdowns[i].Lasting().factor;
+    cr_expect_lt(std::abs(std::log(estimate_a / estimate_b)), 0.15,
+                 "%zu: %f, %f", i, estimate_a, estimate_b);
   }
 }
 
--- a/tests/chart_test.cc
+++ b/tests/chart_test.cc
@@ -26,13 +26,13 @@
     const auto chart = Chart::Parse(source.text, source.states, source.events);
     cr_assert(chart.has_value(), "%s", std::string(source.name).c_str());
     std::set<int>    reached{chart->start()};
-    std::vector<int> open{chart->start()};
-    while (!open.empty()) {
-      const int state = open.back();
-      open.pop_back();
+    std::vector<int> unvisited{chart->start()};
+    while (!unvisited.empty()) {
+      const int state = unvisited.back();
+      unvisited.pop_back();
       for (std::size_t event = 0; event < source.events.size(); ++event) {
         const int next = chart->Next(state, static_cast<int>(event));
-        if (next >= 0 && reached.insert(next).second) open.push_back(next);
+        if (next >= 0 && reached.insert(next).second) unvisited.push_back(next);
       }
     }
     cr_assert_eq(reached.size(), source.states.size());
--- a/tests/configuration_test.cc
+++ b/tests/configuration_test.cc
@@ -33,7 +33,7 @@
   s.group.Publish(WithTurns(77));
   s.group.Advance(2000);
   if (TurnsAt(s, kCoordinatorA) != 77) return false;
-  // An old state of a peer arrives late, and repeatedly.
+  // A peer's outdated state arrives late, several times.
   for (int i = 0; i < 3; ++i) {
     s.group.Inject(
         kCoordinatorA,
--- a/tests/fairness_test.cc
+++ b/tests/fairness_test.cc
@@ -1,5 +1,5 @@
-// Fair sharing while capacity is scarce: margins for hot workspaces, less
-// urgent routes and late programs, and that none of them starves.
+// Tests fair sharing while capacity is scarce: margins apply to hot workspaces,
+// less urgent routes and late programs, and none of these starves.
 #include <criterion/criterion.h>
 
 #include <cmath>
@@ -321,24 +321,24 @@
 // Guards against a hot workspace staying undetected because each coordinator
 // sees only a few of its programs.
 Test(Fairness, TwoCoordinatorsSeeFewTurnsOfHotWorkspace_ExchangeRevealsIt) {
-  const auto one = MakeFairPolicy();
-  const auto other = MakeFairPolicy();
+  const auto first = MakeFairPolicy();
+  const auto second = MakeFairPolicy();
   for (int turn = 0; turn < 16; ++turn) {
-    for (const auto& coordinator : {one.get(), other.get()}) {
+    for (const auto& coordinator : {first.get(), second.get()}) {
       coordinator->Charge("hot", 200, 1000);
       if (turn % 2 == 0)
         coordinator->Charge("w" + std::to_string(turn), 200, 1000);
     }
   }
-  const double before = one->AdmissionThreshold({"hot", "r"}, kMarginsApply);
-  other->MergePeer(one->TakeUnsent(), 1000);
-  one->MergePeer(other->TakeUnsent(), 1000);
-  const double after = one->AdmissionThreshold({"hot", "r"}, kMarginsApply);
+  const double before = first->AdmissionThreshold({"hot", "r"}, kMarginsApply);
+  second->MergePeer(first->TakeUnsent(), 1000);
+  first->MergePeer(second->TakeUnsent(), 1000);
+  const double after = first->AdmissionThreshold({"hot", "r"}, kMarginsApply);
   cr_assert_lt(after, before, "%f, %f", before, after);
   cr_assert_float_eq(
-      after, other->AdmissionThreshold({"hot", "r"}, kMarginsApply), 1e-9);
-  // Charges received from a peer are not sent on.
-  cr_assert(one->TakeUnsent().empty());
+      after, second->AdmissionThreshold({"hot", "r"}, kMarginsApply), 1e-9);
+  // Charges received from one peer are not sent to another.
+  cr_assert(first->TakeUnsent().empty());
 }
 
 // Guards against invalid values from a peer that runs another version.
--- a/tests/history_test.cc
+++ b/tests/history_test.cc
@@ -190,20 +190,21 @@
   s.group.AddAgent("model-d", "isani", core::BackendKind::kModel, "m");
   s.group.Settle();
   s.Start();
-  const auto one =
+  const auto first_reply =
       s.group.CallNow("entry-a", s.group.ModelCall(s.program, 1, "one"));
   s.group.Kill(s.Coordinator());
-  const auto two = s.group.CallThrough(
+  const auto second_reply = s.group.CallThrough(
       {"entry-b"}, s.group.ModelCall(s.program, 2, "two"), kRecoveryTimeout);
-  cr_assert(two.ok);
+  cr_assert(second_reply.ok);
   s.group.Kill(s.CurrentCoordinator());
-  const auto three = s.group.CallThrough(
+  const auto third_reply = s.group.CallThrough(
       {"entry-a"}, s.group.ModelCall(s.program, 3, "three"), kRecoveryTimeout);
-  cr_assert(three.ok, "%s", core::Name(three.failure.reason).data());
+  cr_assert(third_reply.ok, "%s",
+            core::Name(third_reply.failure.reason).data());
   const auto history = ReadHistory(s, "entry-b", "w1");
-  cr_assert(HasTurn(history, 1, one.answer.text));
-  cr_assert(HasTurn(history, 2, two.answer.text));
-  cr_assert(HasTurn(history, 3, three.answer.text));
+  cr_assert(HasTurn(history, 1, first_reply.answer.text));
+  cr_assert(HasTurn(history, 2, second_reply.answer.text));
+  cr_assert(HasTurn(history, 3, third_reply.answer.text));
 }
 
 Test(History, AdopterServesAnotherModel_CallsRunAtTheProgramsModel) {
--- a/tests/membership_test.cc
+++ b/tests/membership_test.cc
@@ -24,8 +24,8 @@
 }
 
 Test(Membership, NodeResumesAfterPause_ClaimsNoHealthyCoordinator) {
-  // Guards against claims by a node that was paused and takes all its peers for
-  // unreachable.
+  // Guards against claims by a node that was paused and therefore assumes that
+  // all its peers are unreachable.
   cr_assert_not(
       PausedNodeClaimsNoPeer(Safeguards::Without(Safeguard::kPauseDetection)));
   cr_assert(PausedNodeClaimsNoPeer(Safeguards::All()));
--- a/tests/rate_limit_test.cc
+++ b/tests/rate_limit_test.cc
@@ -313,7 +313,7 @@
   }
 }
 
-// Guards against refusing what the limit allows.
+// Guards against refusing requests that the limit allows.
 Test(RateLimits, SingleCoordinator_GrantsNearlyTheWholeLimit) {
   SingleCoordinator d({66, 66});
   int               granted = 0;
@@ -455,7 +455,7 @@
   struct Program {
     workspaces::ProgramHash hash = 0;
     int                     steps = 0;
-    bool                    known = false;
+    bool                    admitted = false;
     Time                    next = 0;
     Time                    tried = 0;  // first attempt of the current step
   };
@@ -474,7 +474,7 @@
     for (Program& program : programs) {
       if (program.next > d.now) continue;
       RateRequest request;
-      if (program.known) {
+      if (program.admitted) {
         request.want = 1;
       } else {
         request.waiting = {program.hash};
@@ -483,11 +483,11 @@
       if (program.steps > 0) request.steps = {{program.hash, 1}};
       const RateResponse response = d.RequestTokens(request);
       if (response.tokens > 0) {
-        program.known = true;
+        program.admitted = true;
         program.tried = 0;
         program.next = d.now + 60;
         ++program.steps;
-      } else if (!program.known && response.may_go_on.empty()) {
+      } else if (!program.admitted && response.may_go_on.empty()) {
         ++refusals;
         retry_delays.insert(response.new_program_retry_delay);
         program.steps = -1;
@@ -495,7 +495,7 @@
         ++aborted;
         program.steps = -1;
       } else {
-        program.known = true;
+        program.admitted = true;
         program.next = d.now + std::max<Duration>(25, response.retry_delay);
       }
     }
--- a/tests/refusal_test.cc
+++ b/tests/refusal_test.cc
@@ -122,7 +122,7 @@
 
 Test(Answers, ReplyLostOnTheWay_ComesWhenAskedAgain) {
   // Guards against a lost reply that is never resent: the entry repeats the
-  // request and the coordinator answers it from its turn.
+  // request, and the coordinator answers it from the stored turn.
   SmallGroup s;
   LoseFirst<core::StartReply>(s);
   s.Start();
--- a/tests/schedule_test.cc
+++ b/tests/schedule_test.cc
@@ -147,9 +147,9 @@
     Collect(&program);
     const std::string body = std::to_string(program.next);
     // The same sequence is always the same request.
-    const auto        known = m_calls.find({program.id, program.next});
+    const auto        earlier = m_calls.find({program.id, program.next});
     core::Call        call =
-        known != m_calls.end() ? known->second
+        earlier != m_calls.end() ? earlier->second
                : booking ? m_s.group.ServiceCall(program.id, program.next, body)
                          : m_s.group.ModelCall(program.id, program.next, body);
     call.deadline = m_s.group.now() + 30'000;
--- a/tests/turn_limit_test.cc
+++ b/tests/turn_limit_test.cc
@@ -228,8 +228,8 @@
 Test(TurnLimits, BurstOfTwiceWhatIsCarried_HalfOfWhatIsCarriedEndsInTime) {
   constexpr double kSeconds = 6;
   const auto       with = RunSeeds(true, 0.7, 2.9);
-  const double     carried = kSeeds * kSeconds * BurstSimulation::Capacity();
-  cr_assert_geq(2 * with.in_time, carried, "%d of %f", with.in_time, carried);
+  const double     capacity = kSeeds * kSeconds * BurstSimulation::Capacity();
+  cr_assert_geq(2 * with.in_time, capacity, "%d of %f", with.in_time, capacity);
 }
 
 // Guards against dispatchers delaying turns below capacity.
--- a/tests/unrepeatable_test.cc
+++ b/tests/unrepeatable_test.cc
@@ -172,8 +172,8 @@
 }
 
 Test(Unrepeatable, ReplacedCoordinatorWakesAfterTakeover_RunsOnce) {
-  // Guards against a second run by a replaced coordinator that wakes cut off
-  // from the log and gets the request again.
+  // Guards against a second run by a replaced coordinator that resumes without
+  // access to the log and gets the request again.
   SmallGroup s;
   s.Start();
   const std::string coordinator = s.Coordinator();
--- a/tests/urgency_test.cc
+++ b/tests/urgency_test.cc
@@ -51,9 +51,9 @@
     }
     while (!m_events.empty()) {
       m_now = m_events.begin()->first;
-      const auto due = std::move(m_events.begin()->second);
+      const auto current_events = std::move(m_events.begin()->second);
       m_events.erase(m_events.begin());
-      for (const auto& event : due) event();
+      for (const auto& event : current_events) event();
       StartTurns();
     }
     return static_cast<double>(m_in_time) /
@@ -63,7 +63,7 @@
  private:
   struct Program {
     int  turns = 0;
-    Time due = 0;
+    Time deadline = 0;
   };
   struct Waiting {
     int         urgency = 0;
@@ -88,7 +88,7 @@
     return std::exponential_distribution<double>(load / kFull)(m_random);
   }
   void SubmitTurn(std::size_t program) {
-    const Duration left = m_programs[program].due - m_now;
+    const Duration left = m_programs[program].deadline - m_now;
     m_waiting.push({m_policy(left), m_now, program});
   }
   void StartTurns() {
@@ -105,7 +105,7 @@
     if (--ended.turns > 0) {
       m_events[m_now + kPause].push_back(
           [this, program] { SubmitTurn(program); });
-    } else if (m_now <= ended.due) {
+    } else if (m_now <= ended.deadline) {
       ++m_in_time;
     }
   }
