--- a/src/yuccawick/core/budget.cc
+++ b/src/yuccawick/core/budget.cc
@@ -23,7 +23,7 @@
   m_next = logged.offset + 1;
   if (grant == nullptr) return Effect::kVoid;
   Account& account = m_accounts[Index(grant->resource)];
-  if (account.known) return Fold(logged.offset, *grant, &account);
+  if (account.known) return ApplyGrant(logged.offset, *grant, &account);
   account.deferred.push_back(logged);
   const bool from_start = earliest == 0;
   // A checkpoint is usable if no record after it has been dropped.
@@ -39,13 +39,13 @@
 void GrantLedger::Replay(Account* account) {
   for (const auto& logged : account->deferred) {
     if (logged.offset <= account->state.as_of) continue;
-    Fold(logged.offset, std::get<GrantRecord>(logged.record), account);
+    ApplyGrant(logged.offset, std::get<GrantRecord>(logged.record), account);
   }
   account->deferred.clear();
 }
 
-Effect GrantLedger::Fold(Offset offset, const GrantRecord& grant,
-                         Account* account) {
+Effect GrantLedger::ApplyGrant(Offset offset, const GrantRecord& grant,
+                               Account* account) {
   GrantCheckpoint& state = account->state;
   state.as_of = offset;
   // A slice requested under an older contract or period could exceed the
--- a/src/yuccawick/core/budget.h
+++ b/src/yuccawick/core/budget.h
@@ -44,7 +44,8 @@
     std::vector<LoggedRecord> deferred;  // read before a usable checkpoint
     std::map<NodeRef, std::int64_t> outstanding;
   };
-  static Effect Fold(Offset offset, const GrantRecord& grant, Account* account);
+  static Effect ApplyGrant(Offset offset, const GrantRecord& grant,
+                           Account* account);
   static void   Replay(Account* account);
 
   std::array<Account, kResourceCount> m_accounts;
@@ -59,7 +60,8 @@
 };
 
 struct BudgetSettings {
-  // A slice is the total divided by this, but at least the requested amount.
+  // A slice is the total divided by `slice_divisor`, but at least the
+  // requested amount.
   std::int64_t slice_divisor = 64;
   // Program slots per slice.
   std::int64_t slot_slice = 8;
@@ -103,7 +105,7 @@
  private:
   struct Allowance {
     std::int64_t available = 0;  // available for reservations
-    std::int64_t releasing = 0;  // withdrawn here, release not yet appended
+    std::int64_t releasing = 0;  // withdrawn, release not yet appended
     std::int64_t period = 0;
   };
   struct Account {
@@ -113,7 +115,7 @@
     std::uint64_t                         read = 0;    // in progress; 0: none
     Time         since = 0;  // start of the append or read
     Time         log_unavailable_until = 0;
-    std::int64_t number = 0;  // of grants appended; makes their ids unique
+    std::int64_t number = 0;  // count of grants appended, for unique ids
   };
 
   static Allowance& AllowanceOf(Account* account, Resource resource);
--- a/src/yuccawick/core/control.cc
+++ b/src/yuccawick/core/control.cc
@@ -26,30 +26,31 @@
 Effect Control::Apply(const LoggedRecord& logged) {
   // A late or repeated read may return older records; applying one could
   // restore a contract that has been amended since.
-  const bool newer_only = m_safeguards.Has(Safeguard::kNewerControlOnly);
-  if (newer_only && logged.offset <= m_version) return Effect::kOld;
+  const bool ignores_older = m_safeguards.Has(Safeguard::kNewerControlOnly);
+  if (ignores_older && logged.offset <= m_version) return Effect::kOld;
   const Effect effect = std::visit(
-      [&](const auto& record) { return Fold(logged.offset, record); },
+      [&](const auto& record) { return ApplyRecord(logged.offset, record); },
       logged.record);
   m_version = logged.offset;
   return effect;
 }
 
 Effect Control::Apply(const SnapshotRecord& snapshot) {
-  const bool newer_only = m_safeguards.Has(Safeguard::kNewerControlOnly);
-  if (newer_only && snapshot.as_of <= m_version) return Effect::kOld;
+  const bool ignores_older = m_safeguards.Has(Safeguard::kNewerControlOnly);
+  if (ignores_older && snapshot.as_of <= m_version) return Effect::kOld;
   m_contracts.clear();
   m_members.clear();
   m_newest_on_vm.clear();
   for (const auto& c : snapshot.contracts) m_contracts[c.contract.customer] = c;
-  std::vector<const Member*> by_join;
+  std::vector<const Member*> members_by_join;
   for (const auto& m : snapshot.members) {
     m_members[m.join.node] = m;
-    by_join.push_back(&m);
+    members_by_join.push_back(&m);
   }
-  std::sort(by_join.begin(), by_join.end(),
+  std::sort(members_by_join.begin(), members_by_join.end(),
             [](const auto* a, const auto* b) { return a->joined < b->joined; });
-  for (const auto* m : by_join) m_newest_on_vm[m->join.node.vm] = m->join.node;
+  for (const auto* m : members_by_join)
+    m_newest_on_vm[m->join.node.vm] = m->join.node;
   m_version = snapshot.as_of;
   return Effect::kApplied;
 }
@@ -90,9 +91,11 @@
 
 bool Control::MayClaim(const NodeRef& target, const NodeRef& adopter) const {
   const Member* member = FindMember(target);
-  const Member* by = FindMember(adopter);
+  const Member* adopting_member = FindMember(adopter);
   if (member == nullptr || member->IsClaimed()) return false;
-  if (by == nullptr || by->IsClaimed() || target == adopter) return false;
+  if (adopting_member == nullptr || adopting_member->IsClaimed() ||
+      target == adopter)
+    return false;
   if (member->HasReplica(adopter)) return true;
   if (!m_safeguards.Has(Safeguard::kReplicaClaimsOnly)) return true;
   // A node that is not a replica may miss acknowledged answers. Only when all
@@ -104,7 +107,7 @@
                      });
 }
 
-Effect Control::Fold(Offset offset, const JoinRecord& record) {
+Effect Control::ApplyRecord(Offset offset, const JoinRecord& record) {
   if (FindMember(record.node) != nullptr) return Effect::kVoid;
   // Agents of application servers own no programs and are never claimed, so the
   // record is dropped when the next agent joins on that VM.
@@ -120,7 +123,7 @@
   return Effect::kApplied;
 }
 
-Effect Control::Fold(Offset /*offset*/, const ReplicaRecord& record) {
+Effect Control::ApplyRecord(Offset /*offset*/, const ReplicaRecord& record) {
   const auto coordinator = m_members.find(record.coordinator);
   if (coordinator == m_members.end() || coordinator->second.IsClaimed())
     return Effect::kVoid;
@@ -132,7 +135,7 @@
   return Effect::kApplied;
 }
 
-Effect Control::Fold(Offset offset, const ClaimRecord& record) {
+Effect Control::ApplyRecord(Offset offset, const ClaimRecord& record) {
   if (!MayClaim(record.target, record.adopter)) return Effect::kVoid;
   Member& target = m_members[record.target];
   target.adopter = record.adopter;
@@ -140,35 +143,37 @@
   return Effect::kApplied;
 }
 
-Effect Control::Fold(Offset /*offset*/, const LeaveRecord& record) {
+Effect Control::ApplyRecord(Offset /*offset*/, const LeaveRecord& record) {
   const auto it = m_members.find(record.node);
   if (it == m_members.end()) return Effect::kVoid;
   it->second.leaving = true;
   return Effect::kApplied;
 }
 
-Effect Control::Fold(Offset offset, const ContractRecord& record) {
+Effect Control::ApplyRecord(Offset offset, const ContractRecord& record) {
   const ContractInForce* current = FindContract(record.contract.customer);
-  const Offset in_force = current == nullptr ? kNoOffset : current->version;
+  const Offset           current_version =
+      current == nullptr ? kNoOffset : current->version;
   // If two operators amend one version, the first in log order wins; the other
   // reads back that its record is void and reports a conflict.
-  const bool   checked = m_safeguards.Has(Safeguard::kAmendsVersion);
-  if (checked && record.amends != in_force) return Effect::kVoid;
+  const bool checked = m_safeguards.Has(Safeguard::kAmendsVersion);
+  if (checked && record.amends != current_version) return Effect::kVoid;
   if (!Validate(record.contract).empty()) return Effect::kVoid;
   m_contracts[record.contract.customer] = {offset, record.contract};
   return Effect::kApplied;
 }
 
-Effect Control::Fold(Offset offset, const SnapshotRecord& record) {
+Effect Control::ApplyRecord(Offset offset, const SnapshotRecord& record) {
   m_last_snapshot = offset;
   return Apply(record) == Effect::kApplied ? Effect::kApplied : Effect::kVoid;
 }
 
-Effect Control::Fold(Offset /*offset*/, const HistoryRecord& /*record*/) {
+Effect Control::ApplyRecord(Offset /*offset*/,
+                            const HistoryRecord& /*record*/) {
   return Effect::kVoid;
 }
 
-Effect Control::Fold(Offset /*offset*/, const GrantRecord& /*record*/) {
+Effect Control::ApplyRecord(Offset /*offset*/, const GrantRecord& /*record*/) {
   return Effect::kVoid;
 }
 
--- a/src/yuccawick/core/control.h
+++ b/src/yuccawick/core/control.h
@@ -1,8 +1,8 @@
 // State of the control stream: contracts, members and claims.
 //
 // Every node applies the same records in the same order and reaches the same
-// state. The version of the state is the offset of the last record applied. It
-// only increases, so an accepted configuration never reverts.
+// state. The version of the state is the offset of the last record applied. The
+// version only increases, so an accepted configuration never reverts.
 #pragma once
 
 #include <map>
@@ -45,8 +45,8 @@
   }
 
   struct Coordinator {
-    NodeRef node;               // current owner of the programs
-    Offset  fence = kNoOffset;  // offset of its claim; kNoOffset: never claimed
+    NodeRef node;              // current owner of the programs
+    Offset fence = kNoOffset;  // offset of the claim by `node`; kNoOffset: none
   };
   // Follows claims from `origin` to the current owner of its programs.
   Coordinator Resolve(const NodeRef& origin) const;
@@ -55,14 +55,14 @@
   bool MayClaim(const NodeRef& target, const NodeRef& adopter) const;
 
  private:
-  Effect Fold(Offset offset, const JoinRecord& record);
-  Effect Fold(Offset offset, const ReplicaRecord& record);
-  Effect Fold(Offset offset, const ClaimRecord& record);
-  Effect Fold(Offset offset, const LeaveRecord& record);
-  Effect Fold(Offset offset, const ContractRecord& record);
-  Effect Fold(Offset offset, const SnapshotRecord& record);
-  Effect Fold(Offset offset, const HistoryRecord& record);
-  Effect Fold(Offset offset, const GrantRecord& record);
+  Effect ApplyRecord(Offset offset, const JoinRecord& record);
+  Effect ApplyRecord(Offset offset, const ReplicaRecord& record);
+  Effect ApplyRecord(Offset offset, const ClaimRecord& record);
+  Effect ApplyRecord(Offset offset, const LeaveRecord& record);
+  Effect ApplyRecord(Offset offset, const ContractRecord& record);
+  Effect ApplyRecord(Offset offset, const SnapshotRecord& record);
+  Effect ApplyRecord(Offset offset, const HistoryRecord& record);
+  Effect ApplyRecord(Offset offset, const GrantRecord& record);
   void   DropSettledMembers();
 
   Safeguards                             m_safeguards;
--- a/src/yuccawick/core/control_tail.cc
+++ b/src/yuccawick/core/control_tail.cc
@@ -36,18 +36,19 @@
 
 bool ControlTail::OnRead(const ReadDone& done, Time now) {
   if (done.stream != kControlStream) return false;
-  const bool current = done.read == m_read;
-  if (current) m_read = 0;
+  const bool is_current_read = done.read == m_read;
+  if (is_current_read) m_read = 0;
   if (done.status != LogStatus::kOk) {
-    if (current) OnReadFailed();
+    if (is_current_read) OnReadFailed();
     return true;
   }
-  const Offset before = m_control.version();
-  Fold(done);
+  const Offset version_before = m_control.version();
+  ApplyRecords(done);
   GetConfigChart().Fire(&m_phase, ConfigEvent::kRead);
-  if (m_control.version() != before) m_on_change(now);
-  const bool more = m_control.version() + 1 < done.end && !done.records.empty();
-  if (more && m_read == 0) ReadNow(now);
+  if (m_control.version() != version_before) m_on_change(now);
+  const bool has_more =
+      m_control.version() + 1 < done.end && !done.records.empty();
+  if (has_more && m_read == 0) ReadNow(now);
   return true;
 }
 
@@ -61,9 +62,9 @@
   if (vm != m_self.vm) RequestSnapshot(NodeRef{vm, 0});
 }
 
-void ControlTail::Fold(const ReadDone& done) {
-  const bool gap = done.earliest > m_control.version() + 1;
-  if (gap) {
+void ControlTail::ApplyRecords(const ReadDone& done) {
+  const bool records_missing = done.earliest > m_control.version() + 1;
+  if (records_missing) {
     // Unread records have been dropped. Only a snapshot taken after them
     // replaces them; continuing without one could restore old contracts.
     for (const auto& logged : done.records) {
@@ -92,18 +93,19 @@
 
 void ControlTail::MaybeSnapshot(Time now) {
   if (!m_settings.writes_snapshots || m_phase != ConfigPhase::kCurrent) return;
-  // Jitter of up to one interval, so that usually only one node writes it.
-  const auto spread = static_cast<Duration>(
+  // Jitter of up to one interval, so that usually only one node writes the
+  // snapshot.
+  const auto jitter = static_cast<Duration>(
       PairHash("snapshot", ToString(m_self)) %
       static_cast<std::uint64_t>(m_settings.snapshot_interval));
-  const bool fresh = m_control.last_snapshot() != m_seen_snapshot;
-  if (fresh || m_snapshot_due == 0) {
+  const bool has_new_snapshot = m_control.last_snapshot() != m_seen_snapshot;
+  if (has_new_snapshot || m_snapshot_due == 0) {
     m_seen_snapshot = m_control.last_snapshot();
-    m_snapshot_due = now + m_settings.snapshot_interval + spread;
+    m_snapshot_due = now + m_settings.snapshot_interval + jitter;
     return;
   }
   if (now < m_snapshot_due) return;
-  m_snapshot_due = now + m_settings.snapshot_interval + spread;
+  m_snapshot_due = now + m_settings.snapshot_interval + jitter;
   m_outbox.Append(std::string(kControlStream), {m_control.Snapshot()});
 }
 
--- a/src/yuccawick/core/control_tail.h
+++ b/src/yuccawick/core/control_tail.h
@@ -46,7 +46,7 @@
   bool IsLogUnavailable() const { return m_phase == ConfigPhase::kBehind; }
 
  private:
-  void Fold(const ReadDone& done);
+  void ApplyRecords(const ReadDone& done);
   void OnReadFailed();
   void MaybeSnapshot(Time now);
 
--- a/src/yuccawick/core/durability.h
+++ b/src/yuccawick/core/durability.h
@@ -7,8 +7,8 @@
 //    afterwards shows no claim of this coordinator.
 // The first way costs one round trip between zones; deltas are still appended
 // to the log, in batches. The second is used while replicas are missing or
-// slow. Its read is required because an adopter claims first and then reads the
-// history: it would miss a delta that was appended later.
+// slow. The read is required because an adopter claims first and then reads the
+// history: the adopter would miss a delta appended after that.
 //
 // Durability    the coordinator's side
 // BackupStore   the replica's side
@@ -117,7 +117,7 @@
   std::set<Ticket>     m_unconfirmed;  // logged; control stream not read since
   std::set<Ticket>     m_confirming;   // covered by the read m_control_read
   std::uint64_t        m_control_read = 0;
-  bool m_batch_was_full = false;  // more was waiting than one append takes
+  bool m_batch_was_full = false;  // the last append left deltas unlogged
   Time m_last_flush = 0;
   Time m_retry_at = 0;
 };
--- a/src/yuccawick/core/executor.h
+++ b/src/yuccawick/core/executor.h
@@ -27,7 +27,7 @@
   double      decode_tokens_per_ms = 0.05;  // per call, for wait estimates
   Tokens      prefix_tokens = 0;     // engine memory for prefixes; 0: unknown
   Duration    prefix_hold = 120000;  // ms until an unused prefix is released
-  Duration    clock_margin = 2000;   // ms past its deadline a call is known
+  Duration    clock_margin = 2000;   // ms that a call is kept past its deadline
 };
 
 class Executor {
--- a/src/yuccawick/core/failure.h
+++ b/src/yuccawick/core/failure.h
@@ -4,8 +4,7 @@
 // add a reason, extend Reason and the table in failure.cc; metrics, HTTP status
 // and JSON names are derived from that table.
 //
-// Refuse() is for requests that certainly did not run; use Ran::kNo for no
-// others.
+// Use Refuse() and Ran::kNo only for requests that certainly did not run.
 #pragma once
 
 #include <array>
--- a/src/yuccawick/core/messages.h
+++ b/src/yuccawick/core/messages.h
@@ -151,7 +151,7 @@
   Call          call;
   std::string   prompt;  // history before the call; empty for services
   std::int64_t  priority = 5;
-  Duration      max_wait = 0;  // ms that it may wait for the backend server
+  Duration      max_wait = 0;  // ms that the call may wait for its server
   Time          started = 0;   // start time of the root program
   Tokens        attained = 0;  // service received by the root program, tokens
   std::int64_t  cache_weight = 50;
@@ -248,8 +248,8 @@
 
 // ---- Between adopter and executor
 
-// Requests that the executor refuse orders for the program below `fence`, and
-// report the state of the call.
+// Asks the executor to refuse orders for the program with a fencing number
+// below `fence`, and to report the state of the call.
 struct FenceCall {
   ProgramId program;
   Sequence  sequence = 0;
@@ -356,9 +356,9 @@
   Message message;
 };
 
-// A message may not have arrived; expect no reply from that node until its next
-// message. If no connection could be made, the message certainly was not sent
-// and is returned in `unsent`.
+// A message to `to` may not have arrived; expect no reply from that node until
+// its next message. If no connection could be made, the message certainly was
+// not sent and is returned in `unsent`.
 struct SendFailed {
   NodeRef                to;
   std::optional<Message> unsent;
--- a/src/yuccawick/core/records.h
+++ b/src/yuccawick/core/records.h
@@ -77,7 +77,7 @@
   }
 };
 
-// Takes effect if `amends` is the version in force at this point.
+// Takes effect if `amends` is the version in force just before this record.
 struct ContractRecord {
   std::string amendment;  // unique id of the attempt, to find it in the log
   Offset   amends = kNoOffset;  // version replaced; kNoOffset: first contract
@@ -107,8 +107,8 @@
 constexpr std::size_t kResourceCount = 2;
 std::string_view      Name(Resource resource);
 
-// State of one resource of a customer just after `as_of`. Every grant carries
-// one, so that the stream can be read from any retained record.
+// State of one resource of a customer just after `as_of`. Every grant record
+// contains one, so that the stream can be read from any retained record.
 struct GrantCheckpoint {
   Offset       as_of = kNoOffset;
   Offset       version = kNoOffset;  // contract version
@@ -187,9 +187,10 @@
   }
 };
 
-// The complete state of the control stream just after `as_of`. Appended again
-// before retention drops the records it is built from, and sent to nodes that
-// start while the log is unavailable.
+// The complete state of the control stream just after `as_of`. Agents append
+// a new snapshot before log retention drops the records that the state was
+// built from. Nodes that start while the log is unavailable get one from a
+// peer.
 struct SnapshotRecord {
   Offset                       as_of = kNoOffset;
   std::vector<ContractInForce> contracts;
--- a/src/yuccawick/core/retry.cc
+++ b/src/yuccawick/core/retry.cc
@@ -34,13 +34,13 @@
   return true;
 }
 
-Duration RetryBudget::Wait(int attempts_made, Duration asked_for) {
+Duration RetryBudget::Wait(int attempts_made, Duration requested_delay) {
   constexpr int  kMaxDoublings = 16;
   const int      doublings = std::min(attempts_made, kMaxDoublings);
   const Duration cap =
       std::min(m_settings.max_wait, m_settings.initial_wait << doublings);
   std::uniform_int_distribution<Duration> jitter(cap / 2, cap);
-  return std::max(asked_for, jitter(m_random));
+  return std::max(requested_delay, jitter(m_random));
 }
 
 }  // namespace yuccawick::core
--- a/src/yuccawick/core/retry.h
+++ b/src/yuccawick/core/retry.h
@@ -20,8 +20,8 @@
   int      max_attempts = 12;
 };
 
-// True if the failure is transient and the request did not run, so that it may
-// be sent again on behalf of the caller.
+// True if the failure is transient and the request did not run, so that the
+// request may be sent again on behalf of the caller.
 bool IsRetriable(const Failure& failure);
 
 class RetryBudget {
@@ -31,9 +31,9 @@
   void     OnFreshRequest();
   // Takes one token. Returns false if none is left or the attempts are used up.
   bool     Take(int attempts_made);
-  // Delay before attempt `attempts_made` + 1, at least `asked_for`, the retry
-  // delay of the refusing node. ms.
-  Duration Wait(int attempts_made, Duration asked_for);
+  // Delay in ms before attempt `attempts_made` + 1, at least `requested_delay`,
+  // the retry delay that the refusing node returned.
+  Duration Wait(int attempts_made, Duration requested_delay);
 
  private:
   RetrySettings   m_settings;
--- a/src/yuccawick/core/safeguards.h
+++ b/src/yuccawick/core/safeguards.h
@@ -1,7 +1,7 @@
 // Switches that turn off single safeguards in tests.
 //
 // A test of a guarantee must fail with its safeguard off and pass with it on.
-// Daemons always run with Safeguards::All(); there is no setting for it.
+// Daemons always run with Safeguards::All(); no setting changes this.
 #pragma once
 
 #include <bitset>
--- a/src/yuccawick/core/scheduling.h
+++ b/src/yuccawick/core/scheduling.h
@@ -102,10 +102,11 @@
 class CacheAwareRoute : public RoutePolicy {
  public:
   // `residency_cost`: ms added per 1000 resident tokens. Programs that pause
-  // for a tool call return, and prefixes that no longer fit must be recomputed.
+  // for a tool call need their prefixes again, and prefixes that no longer fit
+  // must be recomputed.
   // `switch_cost`: ms by which another server must be better than the
-  // coordinator's own, since load reports are old and other nodes act on them
-  // too.
+  // coordinator's own, since load reports are outdated and other nodes act on
+  // the same reports.
   CacheAwareRoute(double prefill_tokens_per_ms, Duration switch_cost,
                   double residency_cost)
       : m_prefill_tokens_per_ms(prefill_tokens_per_ms),
