--- a/src/yuccawick/core/agent.cc
+++ b/src/yuccawick/core/agent.cc
@@ -44,7 +44,7 @@
 // Delivers messages that the agent sends to itself, since coordinator and
 // executor are parts of one node, and returns the other commands.
 std::vector<Command> Agent::TakeCommands(Time now) {
-  std::vector<Command> out;
+  std::vector<Command> other_commands;
   while (true) {
     RetryFunding(now);
     for (const Ticket ticket : std::exchange(m_durable_tickets, {}))
@@ -52,13 +52,13 @@
     auto commands = m_outbox.Take();
     if (commands.empty() && m_funding_changed.empty() &&
         m_durable_tickets.empty())
-      return out;
+      return other_commands;
     for (auto& command : commands) {
       auto* send = std::get_if<SendMessage>(&command);
       if (send != nullptr && send->to == m_self) {
         OnMessage(m_self, send->message, now);
       } else {
-        out.push_back(std::move(command));
+        other_commands.push_back(std::move(command));
       }
     }
   }
@@ -84,8 +84,8 @@
   EnsureReplicas(now);
   if (now >= m_next_scan) Scan(now);
   if (m_tail.IsLogUnavailable() || !m_tail.HasState()) {
-    const NodeRef* ahead = m_membership.PeerAhead();
-    if (ahead != nullptr) m_tail.RequestSnapshot(*ahead);
+    const NodeRef* newer_peer = m_membership.PeerAhead();
+    if (newer_peer != nullptr) m_tail.RequestSnapshot(*newer_peer);
   }
   if (m_draining) Drain(now);
 }
@@ -108,7 +108,7 @@
   const bool  addressed_here = IsMeant(event.to, m_self);
   const auto* dispatch = std::get_if<Dispatch>(&event.message);
   const auto* fence = std::get_if<FenceCall>(&event.message);
-  // These two name their recipient and need a typed reply.
+  // Dispatch and FenceCall name their recipient and need a typed reply.
   const bool  names_recipient = dispatch != nullptr || fence != nullptr;
   if (!addressed_here && !names_recipient &&
       m_safeguards.Has(Safeguard::kReplyMatch)) {
@@ -276,9 +276,10 @@
   }
 }
 
-bool Agent::MayRetry(Time* last, Time now) const {
-  if (*last != 0 && now - *last < m_settings.append_retry) return false;
-  *last = now;
+bool Agent::MayRetry(Time* last_attempt, Time now) const {
+  if (*last_attempt != 0 && now - *last_attempt < m_settings.append_retry)
+    return false;
+  *last_attempt = now;
   return true;
 }
 
@@ -289,8 +290,8 @@
   m_tail.ReadNow(now);
 }
 
-// Keeps usable current replicas and fills up with the members that back up the
-// fewest coordinators, each in its own zone if there are enough zones.
+// Chooses the usable current replicas, then the members that back up the fewest
+// coordinators, each in its own zone if there are enough zones.
 std::vector<NodeRef> Agent::ChooseReplicas() const {
   std::map<NodeRef, int> coordinators_backed;
   for (const auto& [node, member] : m_control.members()) {
@@ -299,13 +300,13 @@
   }
   std::vector<NodeRef>  chosen;
   std::set<std::string> zones{m_settings.join.zone};
-  const auto            take = [&](const Member& member) {
+  const auto            add_member = [&](const Member& member) {
     chosen.push_back(member.join.node);
     zones.insert(member.join.zone);
   };
   for (const auto& node : m_durability.Replicas()) {
     const Member* member = m_control.FindMember(node);
-    if (member != nullptr && MayBeReplica(*member)) take(*member);
+    if (member != nullptr && MayBeReplica(*member)) add_member(*member);
   }
   const auto cost = [&](const Member& m) {
     const bool other_model = m.join.target != m_settings.join.target;
@@ -316,13 +317,13 @@
   while (chosen.size() < m_settings.replicas) {
     const Member* best = nullptr;
     for (const auto& [node, member] : m_control.members()) {
-      const bool taken =
+      const bool is_chosen =
           std::find(chosen.begin(), chosen.end(), node) != chosen.end();
-      if (taken || !MayBeReplica(member)) continue;
+      if (is_chosen || !MayBeReplica(member)) continue;
       if (best == nullptr || cost(member) < cost(*best)) best = &member;
     }
     if (best == nullptr) break;
-    take(*best);
+    add_member(*best);
   }
   return chosen;
 }
@@ -354,7 +355,8 @@
     m_assigned_at = 0;
     return;
   }
-  // Assigned only when up to date: from then on only these nodes may claim.
+  // Candidates are assigned only when up to date, since from then on only they
+  // may claim.
   if (!m_durability.AreCandidatesReady() || !MayRetry(&m_assigned_at, now))
     return;
   m_outbox.Append(std::string(kControlStream),
@@ -367,9 +369,9 @@
   for (const auto& [node, member] : m_control.members()) {
     if (member.IsClaimed()) continue;
     if (member.HasReplica(m_self)) watched.insert(node);
-    const bool orphan = member.join.kind == BackendKind::kModel &&
-                        m_control.MayClaim(node, m_self);
-    if (orphan && IsFirstToClaim(node)) watched.insert(node);
+    const bool may_claim = member.join.kind == BackendKind::kModel &&
+                           m_control.MayClaim(node, m_self);
+    if (may_claim && IsFirstToClaim(node)) watched.insert(node);
   }
   for (const auto& node : m_durability.Replicas()) watched.insert(node);
   m_membership.Watch(watched, now);
@@ -452,7 +454,7 @@
 
 // ---- Stopping
 
-// The first usable replica, or else the first one.
+// The first usable replica; the first replica if none is usable.
 NodeRef Agent::ChooseSuccessor(const std::vector<NodeRef>& replicas) const {
   const auto usable_replica =
       std::find_if(replicas.begin(), replicas.end(),
@@ -472,14 +474,14 @@
   if (!m_durability.IsQuiet()) return;
   m_budget.ReleaseAllUnused(now);
   if (!m_budget.IsQuiet()) return;
-  const bool transfers =
+  const bool must_transfer =
       self != nullptr && !self->IsClaimed() && !m_durability.Replicas().empty();
-  if (transfers)
+  if (must_transfer)
     return AppendClaim(m_self, ChooseSuccessor(m_durability.Replicas()), now);
   const bool announced = self == nullptr || self->leaving || self->IsClaimed();
   if (!announced) return;
-  // Other nodes see the leave record later. Until then their orders are refused
-  // as not run; for a stopped process the outcome would be unknown.
+  // Other nodes see the leave record later. Until then this process refuses
+  // their orders as not run; if it had stopped, their outcome would be unknown.
   const bool in_grace_period = self != nullptr && m_left_at != 0 &&
                                now - m_left_at < m_settings.leave_grace;
   if (in_grace_period && m_safeguards.Has(Safeguard::kDrainInFlight)) return;
--- a/src/yuccawick/core/agent.h
+++ b/src/yuccawick/core/agent.h
@@ -91,7 +91,7 @@
 
   NodeRef ChooseSuccessor(const std::vector<NodeRef>& replicas) const;
   void    Drain(Time now);
-  bool    MayRetry(Time* last, Time now) const;
+  bool    MayRetry(Time* last_attempt, Time now) const;
 
   void                 RetryFunding(Time now);
   std::vector<Command> TakeCommands(Time now);
--- a/src/yuccawick/core/budget.cc
+++ b/src/yuccawick/core/budget.cc
@@ -23,7 +23,7 @@
   m_next = logged.offset + 1;
   if (grant == nullptr) return Effect::kVoid;
   Account& account = m_accounts[Index(grant->resource)];
-  if (account.known) return ApplyGrant(logged.offset, *grant, &account);
+  if (account.totals_known) return ApplyGrant(logged.offset, *grant, &account);
   account.deferred.push_back(logged);
   const bool from_start = earliest == 0;
   // A checkpoint is usable if no record after it has been dropped.
@@ -31,7 +31,7 @@
                       grant->checkpoint.as_of >= earliest - 1;
   if (!from_start && !usable) return Effect::kVoid;
   if (!from_start) account.state = grant->checkpoint;
-  account.known = true;
+  account.totals_known = true;
   Replay(&account);
   return Effect::kApplied;
 }
@@ -49,7 +49,8 @@
   GrantCheckpoint& state = account->state;
   state.as_of = offset;
   // A slice requested under an older contract or period could exceed the
-  // current total. The holder reads that it is void and requests another.
+  // current total. The holder reads that the grant is void and requests
+  // another.
   if (grant.amount > 0 && grant.version < state.version) return Effect::kVoid;
   if (grant.period < state.period) return Effect::kVoid;
   if (grant.period > state.period) {
@@ -71,11 +72,11 @@
 void GrantLedger::ReadTo(Offset end, Offset earliest) {
   m_next = std::max(m_next, end);
   if (earliest != 0) return;
-  for (auto& account : m_accounts) account.known = true;
+  for (auto& account : m_accounts) account.totals_known = true;
 }
 
 bool GrantLedger::IsKnown(Resource resource) const {
-  return m_accounts[Index(resource)].known;
+  return m_accounts[Index(resource)].totals_known;
 }
 
 const GrantCheckpoint& GrantLedger::state(Resource resource) const {
@@ -84,9 +85,9 @@
 
 std::int64_t GrantLedger::OutstandingOf(Resource       resource,
                                         const NodeRef& holder) const {
-  const auto& all = m_accounts[Index(resource)].outstanding;
-  const auto  it = all.find(holder);
-  return it == all.end() ? 0 : it->second;
+  const auto& outstanding_by_holder = m_accounts[Index(resource)].outstanding;
+  const auto  it = outstanding_by_holder.find(holder);
+  return it == outstanding_by_holder.end() ? 0 : it->second;
 }
 
 const std::map<NodeRef, std::int64_t>& GrantLedger::Outstanding(
@@ -155,18 +156,18 @@
   const std::int64_t     total = TotalOf(contract, resource);
   const bool             new_period = state.period < allowance.period;
   const std::int64_t     granted = new_period ? 0 : state.granted;
-  const std::int64_t     left = total - granted;
+  const std::int64_t     remaining = total - granted;
   const std::int64_t     missing = amount - allowance.available;
-  if (left < missing) return Funding::kRefused;
+  if (remaining < missing) return Funding::kRefused;
   const std::int64_t slice = resource == Resource::kTokens
                                  ? total / m_settings.slice_divisor
                                  : m_settings.slot_slice;
-  const std::int64_t asked = std::min(left, std::max(slice, missing));
-  AppendGrant(customer, account, resource, asked, now);
+  const std::int64_t requested = std::min(remaining, std::max(slice, missing));
+  AppendGrant(customer, account, resource, requested, now);
   // Spending before the slice is confirmed by log order would let two nodes
   // spend the same remainder.
   if (m_safeguards.Has(Safeguard::kGrantReadBack)) return Funding::kWaiting;
-  allowance.available += asked - amount;
+  allowance.available += requested - amount;
   return Funding::kFunded;
 }
 
@@ -183,8 +184,8 @@
   grant.total = TotalOf(*contract, resource);
   grant.period = AllowanceOf(account, resource).period;
   grant.checkpoint = account->ledger.state(resource);
-  // Records of the other resource may lie between; they do not change these
-  // sums.
+  // Records of the other resource may lie between; they do not change the
+  // sums of this one.
   grant.checkpoint.as_of = account->ledger.next() - 1;
   account->append = m_outbox.Append(GrantStream(customer), {grant});
   account->since = now;
@@ -238,10 +239,10 @@
     if (grant == nullptr || grant->holder != m_self) continue;
     Allowance& allowance = AllowanceOf(account, grant->resource);
     // A released amount was withdrawn when its record was appended.
-    const bool credit = effect == Effect::kApplied && grant->amount > 0 &&
-                        grant->period == allowance.period &&
-                        m_safeguards.Has(Safeguard::kGrantReadBack);
-    if (credit) allowance.available += grant->amount;
+    const bool is_confirmed = effect == Effect::kApplied && grant->amount > 0 &&
+                              grant->period == allowance.period &&
+                              m_safeguards.Has(Safeguard::kGrantReadBack);
+    if (is_confirmed) allowance.available += grant->amount;
   }
   account->ledger.ReadTo(done.end, done.earliest);
 }
@@ -284,9 +285,10 @@
   Allowance&         allowance = AllowanceOf(account, resource);
   const std::int64_t spare =
       std::max<std::int64_t>(0, allowance.available - keep);
-  // Withdrawn at once, even while the log is unavailable, and removed from
-  // `releasing` before the append: after a lost reply the slice stays stranded
-  // until the period ends, but is never released twice.
+  // The spare amount is withdrawn at once, even while the log is unavailable,
+  // and removed from `releasing` when its release is appended: after a lost
+  // reply the slice stays stranded until the period ends, but is never released
+  // twice.
   allowance.available -= spare;
   allowance.releasing += spare;
   if (allowance.releasing == 0 || account->append != 0) return;
--- a/src/yuccawick/core/budget.h
+++ b/src/yuccawick/core/budget.h
@@ -40,7 +40,7 @@
  private:
   struct Account {
     GrantCheckpoint           state;
-    bool                      known = false;
+    bool                      totals_known = false;
     std::vector<LoggedRecord> deferred;  // read before a usable checkpoint
     std::map<NodeRef, std::int64_t> outstanding;
   };
--- a/src/yuccawick/core/chart.cc
+++ b/src/yuccawick/core/chart.cc
@@ -116,18 +116,18 @@
     const NameList& states, const NameList& events) const {
   std::vector<bool> reached(states.size(), false);
   std::vector<bool> used(events.size(), false);
-  std::vector<int>  open{m_start};
+  std::vector<int>  to_visit{m_start};
   reached[static_cast<std::size_t>(m_start)] = true;
-  while (!open.empty()) {
-    const int state = open.back();
-    open.pop_back();
+  while (!to_visit.empty()) {
+    const int state = to_visit.back();
+    to_visit.pop_back();
     for (std::size_t event = 0; event < m_events; ++event) {
       const int next = Next(state, static_cast<int>(event));
       if (next < 0) continue;
       used[event] = true;
       if (reached[static_cast<std::size_t>(next)]) continue;
       reached[static_cast<std::size_t>(next)] = true;
-      open.push_back(next);
+      to_visit.push_back(next);
     }
   }
   for (std::size_t i = 0; i < states.size(); ++i) {
--- a/src/yuccawick/core/control.cc
+++ b/src/yuccawick/core/control.cc
@@ -98,8 +98,8 @@
     return false;
   if (member->HasReplica(adopter)) return true;
   if (!m_safeguards.Has(Safeguard::kReplicaClaimsOnly)) return true;
-  // A node that is not a replica may miss acknowledged answers. Only when all
-  // replicas have been claimed is the log the best remaining copy.
+  // A node that is not a replica may miss acknowledged answers. The log is
+  // the best remaining copy only once all replicas have been claimed.
   return std::all_of(member->replicas.begin(), member->replicas.end(),
                      [this](const NodeRef& node) {
                        const Member* replica = FindMember(node);
@@ -109,8 +109,8 @@
 
 Effect Control::ApplyRecord(Offset offset, const JoinRecord& record) {
   if (FindMember(record.node) != nullptr) return Effect::kVoid;
-  // Agents of application servers own no programs and are never claimed, so the
-  // record is dropped when the next agent joins on that VM.
+  // Agents of application servers own no programs and are never claimed, so
+  // their record is dropped when the next agent joins on that VM.
   const Member* older = FindVm(record.node.vm);
   if (older != nullptr && older->join.kind == BackendKind::kService)
     m_members.erase(NodeRef(older->join.node));
@@ -156,8 +156,8 @@
       current == nullptr ? kNoOffset : current->version;
   // If two operators amend one version, the first in log order wins; the other
   // reads back that its record is void and reports a conflict.
-  const bool checked = m_safeguards.Has(Safeguard::kAmendsVersion);
-  if (checked && record.amends != current_version) return Effect::kVoid;
+  const bool checks_version = m_safeguards.Has(Safeguard::kAmendsVersion);
+  if (checks_version && record.amends != current_version) return Effect::kVoid;
   if (!Validate(record.contract).empty()) return Effect::kVoid;
   m_contracts[record.contract.customer] = {offset, record.contract};
   return Effect::kApplied;
--- a/src/yuccawick/core/coordinator.cc
+++ b/src/yuccawick/core/coordinator.cc
@@ -13,12 +13,12 @@
 
 Coordinator::Coordinator(NodeRef self, std::string model,
                          CoordinatorSettings settings, Safeguards safeguards,
-                         Dependencies parts)
+                         Dependencies dependencies)
     : m_self(std::move(self)),
       m_model(std::move(model)),
       m_settings(settings),
       m_safeguards(safeguards),
-      m_deps(parts) {}
+      m_deps(dependencies) {}
 
 // ---- Starting
 
@@ -53,18 +53,22 @@
   if (const auto existing = m_program_by_start.find(caller);
       existing != m_program_by_start.end())
     return RepeatStart(caller, existing->second);
-  const auto known = [&](const PendingStart& other) {
-    return other.caller == caller;
+  const auto has_same_caller = [&](const PendingStart& pending_start) {
+    return pending_start.caller == caller;
   };
-  if (std::any_of(m_starts.begin(), m_starts.end(), known)) return;
+  if (std::any_of(m_starts.begin(), m_starts.end(), has_same_caller)) return;
   if (auto ok = CheckStart(start); !ok)
     return ReplyStart(caller, tl::make_unexpected(ok.error()));
   TryStart({caller, start, now}, now);
 }
 
 void Coordinator::RepeatStart(const Caller& caller, const ProgramId& id) {
-  const auto waits = [&](const auto& entry) { return entry.second == id; };
-  if (std::any_of(m_started_as.begin(), m_started_as.end(), waits)) return;
+  const auto is_same_program = [&](const auto& entry) {
+    return entry.second == id;
+  };
+  if (std::any_of(m_program_by_start_ticket.begin(),
+                  m_program_by_start_ticket.end(), is_same_program))
+    return;
   ReplyStart(caller, id);
 }
 
@@ -109,8 +113,8 @@
   m_deps.outbox.Push(Count{Counter::kPrograms, "started", 1});
   Log(LogEvent::kProgramStarted, program, 0, "");
   const Ticket ticket = MakeMetaDurable(&program, now);
-  m_started[ticket] = {start.caller, start.start, now};
-  m_started_as[ticket] = id;
+  m_start_by_ticket[ticket] = {start.caller, start.start, now};
+  m_program_by_start_ticket[ticket] = id;
   m_program_by_start[start.caller] = id;
 }
 
@@ -140,7 +144,7 @@
     return ReplyQuery(caller, tl::make_unexpected(Refuse(Reason::kNotReady)));
   Finish(program, now);
   const Ticket ticket = MakeMetaDurable(program, now);
-  m_ending[ticket] = {caller, query.program};
+  m_end_by_ticket[ticket] = {caller, query.program};
 }
 
 // Ends the program and its sub-agents. None has a call in progress.
@@ -159,9 +163,9 @@
   m_deps.outbox.Push(Count{Counter::kPrograms, "ended", 1});
   Log(LogEvent::kProgramEnded, *program, 0, "");
   for (auto& [child_id, child] : m_programs) {
-    const bool ends =
+    const bool must_end =
         child.state.meta.parent == id && child.phase == ProgramPhase::kIdle;
-    if (!ends || child.state.meta.ended) continue;
+    if (!must_end || child.state.meta.ended) continue;
     Finish(&child, now);
     MakeMetaDurable(&child, now);
   }
@@ -255,7 +259,7 @@
     const auto& peers = m_deps.membership.peers();
     const bool has_load_data = candidate.is_coordinator || peers.contains(node);
     // An engine of unknown load would look idle, so it is skipped, unless this
-    // coordinator serves another model and knows the load of none.
+    // coordinator serves another model and knows the load of no engine.
     const bool own_model =
         call.kind == BackendKind::kModel && call.target == m_model;
     if (!has_load_data && own_model) continue;
@@ -279,9 +283,9 @@
       PairHash("route", ToString(program.state.meta.id)) % nodes.size());
   std::rotate(nodes.begin(), nodes.begin() + shift, nodes.end());
   std::rotate(candidates.begin(), candidates.begin() + shift, candidates.end());
-  const auto own = std::find(nodes.begin(), nodes.end(), m_self);
-  if (own != nodes.end()) {
-    const auto index = static_cast<std::size_t>(own - nodes.begin());
+  const auto own_node = std::find(nodes.begin(), nodes.end(), m_self);
+  if (own_node != nodes.end()) {
+    const auto index = static_cast<std::size_t>(own_node - nodes.begin());
     std::swap(candidates.front(), candidates[index]);
     std::swap(nodes.front(), nodes[index]);
   }
@@ -331,7 +335,8 @@
 }
 
 std::size_t Coordinator::InFlight() const {
-  std::size_t count = m_starts.size() + m_started.size() + m_ending.size();
+  std::size_t count =
+      m_starts.size() + m_start_by_ticket.size() + m_end_by_ticket.size();
   for (const auto& [id, program] : m_programs)
     count += program.waiting.size() + (program.active ? 1 : 0);
   return count;
--- a/src/yuccawick/core/coordinator.h
+++ b/src/yuccawick/core/coordinator.h
@@ -51,7 +51,7 @@
     Outbox&            outbox;
   };
   Coordinator(NodeRef self, std::string model, CoordinatorSettings settings,
-              Safeguards safeguards, Dependencies parts);
+              Safeguards safeguards, Dependencies dependencies);
 
   // Requests of callers, forwarded by an entry.
   void OnStart(const NodeRef& from, const StartProgram& start, Time now);
@@ -190,13 +190,13 @@
 
   std::uint64_t                  m_last_number = 0;
   std::map<ProgramId, Program>   m_programs;
-  std::vector<PendingStart>      m_starts;   // waiting for a slot
-  std::map<Ticket, PendingStart> m_started;  // waiting for durability
-  std::map<Ticket, ProgramId>    m_started_as;
+  std::vector<PendingStart>      m_starts;           // waiting for a slot
+  std::map<Ticket, PendingStart> m_start_by_ticket;  // waiting for durability
+  std::map<Ticket, ProgramId>    m_program_by_start_ticket;
   std::map<Caller, ProgramId>    m_program_by_start;  // answers repeated starts
-  std::map<Ticket, PendingEnd>   m_ending;            // waiting for durability
-  std::map<Ticket, ProgramId>    m_tickets;           // of active calls
-  std::map<std::uint64_t, ProgramId> m_dispatches;
+  std::map<Ticket, PendingEnd>   m_end_by_ticket;     // waiting for durability
+  std::map<Ticket, ProgramId>    m_program_by_ticket;  // of active calls
+  std::map<std::uint64_t, ProgramId> m_program_by_dispatch;
 };
 
 }  // namespace yuccawick::core
--- a/src/yuccawick/core/coordinator_calls.cc
+++ b/src/yuccawick/core/coordinator_calls.cc
@@ -14,13 +14,14 @@
   const auto it = m_programs.find(id);
   if (it == m_programs.end()) {
     const auto coordinator = m_deps.control.Resolve(id.origin);
-    const bool elsewhere = coordinator.node != m_self;
+    const bool owned_elsewhere = coordinator.node != m_self;
     return tl::make_unexpected(
-        Refuse(elsewhere ? Reason::kFenced : Reason::kUnknownProgram));
+        Refuse(owned_elsewhere ? Reason::kFenced : Reason::kUnknownProgram));
   }
   const ProgramMeta& meta = it->second.state.meta;
-  const bool own = meta.workspace == workspace && meta.customer == customer;
-  if (!own && m_safeguards.Has(Safeguard::kWorkspaceCheck))
+  const bool         matches_owner =
+      meta.workspace == workspace && meta.customer == customer;
+  if (!matches_owner && m_safeguards.Has(Safeguard::kWorkspaceCheck))
     return tl::make_unexpected(Refuse(Reason::kWrongWorkspace));
   return &it->second;
 }
@@ -43,8 +44,9 @@
 
 bool Coordinator::AnswerKnown(Program* program, const Caller& caller,
                               const Call& call) {
-  const auto attach = [&](const Call& known, std::vector<Caller>* callers) {
-    if (!SameRequest(known, call)) {
+  const auto attach = [&](const Call&          known_call,
+                          std::vector<Caller>* callers) {
+    if (!SameRequest(known_call, call)) {
       Reply(caller, tl::make_unexpected(Refuse(Reason::kSequenceReused)));
       return;
     }
@@ -116,16 +118,16 @@
   const ContractInForce* contract = m_deps.control.FindContract(customer);
   if (contract == nullptr)
     return FinishRefused(program, Refuse(Reason::kNoContract), now);
-  const Tokens worst = WorstCase(*program, active.call);
+  const Tokens worst_case = WorstCase(*program, active.call);
   Tokens&      spent = RootOf(program)->state.meta.spent;
-  if (spent + worst > contract->contract.program_budget)
+  if (spent + worst_case > contract->contract.program_budget)
     return FinishRefused(program, Refuse(Reason::kProgramBudget), now);
   const Funding funding =
-      m_deps.budget.Reserve(customer, Resource::kTokens, worst, now);
+      m_deps.budget.Reserve(customer, Resource::kTokens, worst_case, now);
   switch (funding) {
     case Funding::kFunded:
-      active.reserved = worst;
-      spent += worst;
+      active.reserved = worst_case;
+      spent += worst_case;
       Fire(program, ProgramEvent::kFunded);
       return Record(program, now);
     case Funding::kWaiting:
@@ -151,7 +153,7 @@
   active.tickets.insert(MakeMetaDurable(program, now));
   if (root != program) active.tickets.insert(MakeMetaDurable(root, now));
   for (const Ticket ticket : active.tickets)
-    m_tickets[ticket] = program->state.meta.id;
+    m_program_by_ticket[ticket] = program->state.meta.id;
   if (!m_safeguards.Has(Safeguard::kIntentFirst)) {
     active.tickets.clear();
     Fire(program, ProgramEvent::kRecorded);
@@ -164,7 +166,7 @@
   const ProgramMeta& meta = program->state.meta;
   active.since = now;
   active.dispatch = m_deps.outbox.NextNumber();
-  m_dispatches[active.dispatch] = meta.id;
+  m_program_by_dispatch[active.dispatch] = meta.id;
   Dispatch dispatch;
   dispatch.dispatch = active.dispatch;
   dispatch.fence = program->fence;
@@ -193,8 +195,8 @@
 
 void Coordinator::OnDispatchChunk(const NodeRef&       from,
                                   const DispatchChunk& chunk) {
-  const auto it = m_dispatches.find(chunk.dispatch);
-  if (it == m_dispatches.end()) return;
+  const auto it = m_program_by_dispatch.find(chunk.dispatch);
+  if (it == m_program_by_dispatch.end()) return;
   const auto program = m_programs.find(it->second);
   if (program == m_programs.end() || !program->second.active) return;
   const ActiveCall& active = *program->second.active;
@@ -209,9 +211,10 @@
                                   const DispatchReply& reply, Time now) {
   m_deps.membership.OnLoad(from, static_cast<Duration>(reply.load_ms),
                            reply.resident);
-  const auto it = m_dispatches.find(reply.dispatch);
-  const auto found =
-      it == m_dispatches.end() ? m_programs.end() : m_programs.find(it->second);
+  const auto it = m_program_by_dispatch.find(reply.dispatch);
+  const auto found = it == m_program_by_dispatch.end()
+                         ? m_programs.end()
+                         : m_programs.find(it->second);
   Program*   program = found == m_programs.end() ? nullptr : &found->second;
   // Replies may be late, duplicated or reordered: accept only the reply to the
   // current dispatch from the node that it was sent to.
@@ -223,7 +226,7 @@
     m_deps.outbox.Push(Count{Counter::kStaleMessages, "dispatch_reply", 1});
     return;
   }
-  m_dispatches.erase(it);
+  m_program_by_dispatch.erase(it);
   if (reply.ok) return Settle(program, reply.answer, nullptr, now);
   if (reply.failure.reason == Reason::kDraining)
     m_deps.membership.OnLeaving(from, now);
@@ -234,7 +237,7 @@
 void Coordinator::FinishRefused(Program* program, Failure failure, Time now) {
   ActiveCall active = std::move(*program->active);
   program->active.reset();
-  for (const Ticket ticket : active.tickets) m_tickets.erase(ticket);
+  for (const Ticket ticket : active.tickets) m_program_by_ticket.erase(ticket);
   if (active.reserved > 0) {
     RootOf(program)->state.meta.spent -= active.reserved;
     m_deps.budget.Release(program->state.meta.customer, Resource::kTokens,
@@ -254,13 +257,13 @@
   if (unrepeatable && m_safeguards.Has(Safeguard::kUnknownIsFinal)) {
     if (failure.ran == Ran::kUnknown)
       failure = {Reason::kOutcomeUnknown, Ran::kUnknown, 0};
-    // Stored as a turn, so that the same sequence always gets this outcome and
-    // never runs again.
+    // The failure is stored as a turn, so that the same sequence always gets
+    // this outcome and never runs again.
     return Settle(program, {}, &failure, now);
   }
   if (failure.reason == Reason::kCancelled) {
-    // A caller repeated the request while it was being cancelled for another
-    // one: the call starts over.
+    // A caller repeated the request while the call was being cancelled for
+    // another caller: the call starts over.
     ActiveCall& active = *program->active;
     if (!active.callers.empty()) {
       program->waiting[active.call.sequence] = {
@@ -298,10 +301,10 @@
   active.since = now;
   active.tickets = {MakeTurnDurable(program, turn, now)};
   if (root != program) MakeMetaDurable(root, now);
-  m_tickets[*active.tickets.begin()] = meta.id;
+  m_program_by_ticket[*active.tickets.begin()] = meta.id;
   Fire(program, ProgramEvent::kAnswered);
   if (m_safeguards.Has(Safeguard::kDurableAnswer)) return;
-  m_tickets.erase(*active.tickets.begin());
+  m_program_by_ticket.erase(*active.tickets.begin());
   FinishAnswered(program, now);
 }
 
@@ -319,25 +322,27 @@
 }
 
 void Coordinator::OnDurable(Ticket ticket, Time now) {
-  if (const auto it = m_started.find(ticket); it != m_started.end()) {
+  if (const auto it = m_start_by_ticket.find(ticket);
+      it != m_start_by_ticket.end()) {
     const PendingStart start = it->second;
-    const auto         id = m_started_as.at(ticket);
-    m_started.erase(it);
-    m_started_as.erase(ticket);
+    const auto         id = m_program_by_start_ticket.at(ticket);
+    m_start_by_ticket.erase(it);
+    m_program_by_start_ticket.erase(ticket);
     return ReplyStart(start.caller, id);
   }
-  if (const auto it = m_ending.find(ticket); it != m_ending.end()) {
+  if (const auto it = m_end_by_ticket.find(ticket);
+      it != m_end_by_ticket.end()) {
     const PendingEnd ending = it->second;
-    m_ending.erase(it);
+    m_end_by_ticket.erase(it);
     const auto program = m_programs.find(ending.program);
     if (program != m_programs.end())
       ReplyQuery(ending.caller, program->second.state.ToDelta());
     return;
   }
-  const auto it = m_tickets.find(ticket);
-  if (it == m_tickets.end()) return;
+  const auto it = m_program_by_ticket.find(ticket);
+  if (it == m_program_by_ticket.end()) return;
   const ProgramId id = it->second;
-  m_tickets.erase(it);
+  m_program_by_ticket.erase(it);
   const auto found = m_programs.find(id);
   if (found == m_programs.end() || !found->second.active) return;
   Program* program = &found->second;
@@ -367,7 +372,7 @@
   const bool matches = program->phase == ProgramPhase::kRunning &&
                        program->active->dispatch == dispatch.dispatch;
   if (!matches) return;
-  m_dispatches.erase(dispatch.dispatch);
+  m_program_by_dispatch.erase(dispatch.dispatch);
   FinishRefused(program, Refuse(Reason::kBackendUnreachable), now);
 }
 
@@ -380,7 +385,7 @@
     // still arrive, while an unknown outcome would need manual inspection.
     if (program.active->call.unrepeatable && !IsExecutorGone(node, now))
       continue;
-    m_dispatches.erase(program.active->dispatch);
+    m_program_by_dispatch.erase(program.active->dispatch);
     FinishFailed(&program,
                  {Reason::kBackendUnreachable, Ran::kUnknown,
                   Info(Reason::kBackendUnreachable).retry_after},
@@ -410,7 +415,7 @@
     case ProgramPhase::kRunning:
       if (now <= active.call.deadline + m_settings.reply_margin) return;
       m_deps.outbox.Send(active.executor, CancelDispatch{active.dispatch});
-      m_dispatches.erase(active.dispatch);
+      m_program_by_dispatch.erase(active.dispatch);
       return FinishFailed(program,
                           {Reason::kDeadline, Ran::kUnknown,
                            Info(Reason::kDeadline).retry_after},
@@ -430,13 +435,13 @@
 }
 
 void Coordinator::DropLateWaiting(Program* program, Time now) {
-  std::vector<WaitingCall> late;
+  std::vector<WaitingCall> expired;
   std::erase_if(program->waiting, [&](auto& entry) {
     if (now <= entry.second.call.deadline) return false;
-    late.push_back(std::move(entry.second));
+    expired.push_back(std::move(entry.second));
     return true;
   });
-  for (const auto& waiting : late) {
+  for (const auto& waiting : expired) {
     ReplyAll(waiting.callers, tl::make_unexpected(Refuse(Reason::kDeadline)));
   }
 }
@@ -453,10 +458,10 @@
                 [](const auto& entry) { return entry.second.callers.empty(); });
   if (!program.active) return;
   std::erase(program.active->callers, caller);
-  const bool stop = program.active->callers.empty() &&
-                    program.phase == ProgramPhase::kRunning &&
-                    !program.active->call.unrepeatable;
-  if (!stop) return;
+  const bool must_cancel = program.active->callers.empty() &&
+                           program.phase == ProgramPhase::kRunning &&
+                           !program.active->call.unrepeatable;
+  if (!must_cancel) return;
   m_deps.outbox.Send(program.active->executor,
                      CancelDispatch{program.active->dispatch});
 }
@@ -474,17 +479,18 @@
     }
   }
   for (const auto& start : std::exchange(m_starts, {})) TryStart(start, now);
-  std::vector<Ticket> late;
-  for (const auto& [ticket, start] : m_started) {
-    if (now - start.since > m_settings.durable_timeout) late.push_back(ticket);
+  std::vector<Ticket> expired;
+  for (const auto& [ticket, start] : m_start_by_ticket) {
+    if (now - start.since > m_settings.durable_timeout)
+      expired.push_back(ticket);
   }
-  for (const Ticket ticket : late) {
-    const Caller caller = m_started.at(ticket).caller;
-    Program*     program = &m_programs.at(m_started_as.at(ticket));
+  for (const Ticket ticket : expired) {
+    const Caller caller = m_start_by_ticket.at(ticket).caller;
+    Program*     program = &m_programs.at(m_program_by_start_ticket.at(ticket));
     Finish(program, now);
     MakeMetaDurable(program, now);
-    m_started.erase(ticket);
-    m_started_as.erase(ticket);
+    m_start_by_ticket.erase(ticket);
+    m_program_by_start_ticket.erase(ticket);
     m_program_by_start.erase(caller);
     ReplyStart(caller, tl::make_unexpected(Refuse(Reason::kNotDurable)));
   }
--- a/src/yuccawick/core/coordinator_recovery.cc
+++ b/src/yuccawick/core/coordinator_recovery.cc
@@ -79,7 +79,7 @@
   m_deps.membership.ProbeTemporarily(active.executor, now);
   const bool timed_out = now - active.since > m_settings.unknown_timeout;
   if (timed_out || m_deps.membership.IsReplaced(active.executor)) {
-    // No reply from the only node where it may have run: the outcome is
+    // No reply from the only node where the call may have run: its outcome is
     // unknown.
     const Failure unknown{Reason::kOutcomeUnknown, Ran::kUnknown, 0};
     return Settle(program, {}, &unknown, now);
@@ -105,7 +105,8 @@
   if (!matches) return;
   switch (reply.state) {
     case FencedState::kNeverSeen:
-      // Fenced there, so that it is safe to run it again.
+      // The executor refuses older orders for the program from now on, so the
+      // call can safely run again.
       if (!program->active->callers.empty()) {
         program->waiting[reply.sequence] = {
             program->active->call, std::move(program->active->callers)};
--- a/src/yuccawick/core/durability.cc
+++ b/src/yuccawick/core/durability.cc
@@ -37,10 +37,10 @@
 
 Ticket Durability::MakeDurable(const ProgramDelta& delta, Time now) {
   const Ticket ticket = m_outbox.NextNumber();
-  m_waiting.insert(ticket);
+  m_not_durable.insert(ticket);
   const std::size_t bytes = SizeOf(delta);
   m_unlogged.push_back({ticket, delta, bytes});
-  m_bytes += bytes;
+  m_unlogged_bytes += bytes;
   for (auto& link : m_replicas) SendBatch(&link, ticket, delta, now);
   for (auto& link : m_candidates) SendBatch(&link, ticket, delta, now);
   return ticket;
@@ -55,7 +55,7 @@
 }
 
 void Durability::StartCandidates(const std::vector<NodeRef>&      nodes,
-                                 const std::vector<ProgramDelta>& everything,
+                                 const std::vector<ProgramDelta>& all_programs,
                                  Time                             now) {
   DropCandidates();
   m_candidate_nodes = nodes;
@@ -64,7 +64,7 @@
     if (std::find(replicas.begin(), replicas.end(), node) != replicas.end())
       continue;
     m_candidates.push_back({node, {}, now, now});
-    for (const auto& delta : everything)
+    for (const auto& delta : all_programs)
       SendBatch(&m_candidates.back(), m_outbox.NextNumber(), delta, now);
   }
 }
@@ -101,8 +101,8 @@
   }
   m_replicas = std::move(assigned);
   DropCandidates();
-  // Acknowledgements received from candidates count now.
-  for (const Ticket ticket : std::set<Ticket>(m_waiting))
+  // Acknowledgements that the new replicas sent as candidates count now.
+  for (const Ticket ticket : std::set<Ticket>(m_not_durable))
     MarkIfReplicated(ticket);
   return true;
 }
@@ -132,16 +132,16 @@
 }
 
 void Durability::MarkDurable(Ticket ticket) {
-  if (m_waiting.erase(ticket) > 0) m_on_durable(ticket);
+  if (m_not_durable.erase(ticket) > 0) m_on_durable(ticket);
 }
 
 bool Durability::IsLate(Time now) const {
-  const auto late = [&](const ReplicaLink& link) {
+  const auto is_link_late = [&](const ReplicaLink& link) {
     return !link.unacked.empty() &&
            now - link.oldest_sent > m_settings.late_after;
   };
   return m_replicas.empty() ||
-         std::any_of(m_replicas.begin(), m_replicas.end(), late);
+         std::any_of(m_replicas.begin(), m_replicas.end(), is_link_late);
 }
 
 void Durability::OnTick(Time now) {
@@ -173,7 +173,7 @@
     m_appending.push_back(std::move(item));
     m_unlogged.pop_front();
   }
-  m_batch_was_full = !m_unlogged.empty();
+  m_has_backlog = !m_unlogged.empty();
   m_append = m_outbox.Append(HistoryStream(m_self.vm), {std::move(record)});
 }
 
@@ -182,16 +182,18 @@
   m_append = 0;
   if (done.status == LogStatus::kOk) {
     for (const auto& item : m_appending) {
-      m_bytes -= item.bytes;
-      if (m_waiting.contains(item.ticket)) m_unconfirmed.insert(item.ticket);
+      m_unlogged_bytes -= item.bytes;
+      if (m_not_durable.contains(item.ticket))
+        m_unconfirmed.insert(item.ticket);
     }
     m_appending.clear();
     // Continue with a backlog at once. Waiting for the next interval could let
     // it grow faster than it is written.
-    if (m_batch_was_full) FlushNow(now);
+    if (m_has_backlog) FlushNow(now);
     return;
   }
-  // Refused or unknown: append again. Reading a delta twice has no effect.
+  // The append was refused or its outcome is unknown: append again. Reading a
+  // delta twice has no effect.
   for (auto it = m_appending.rbegin(); it != m_appending.rend(); ++it)
     m_unlogged.push_front(std::move(*it));
   m_appending.clear();
@@ -218,7 +220,7 @@
     m_confirming.clear();
     return;
   }
-  // Claimed: the adopter may have read the history before the append.
+  // After a claim, the adopter may have read the history before the append.
   if (!owner) return;
   for (const Ticket ticket : std::exchange(m_confirming, {}))
     MarkDurable(ticket);
@@ -262,9 +264,10 @@
     const Member* member = m_control.FindMember(entry.first);
     if (member == nullptr) return false;
     if (member->IsClaimed()) return member->adopter != self;
-    const bool elsewhere =
+    const bool replicated_elsewhere =
         !member->replicas.empty() && !member->HasReplica(self);
-    return elsewhere && now - entry.second.updated > kUnassignedRetention;
+    return replicated_elsewhere &&
+           now - entry.second.updated > kUnassignedRetention;
   });
 }
 
--- a/src/yuccawick/core/durability.h
+++ b/src/yuccawick/core/durability.h
@@ -44,11 +44,11 @@
   // Starts to make a delta durable. Replicas receive deltas in call order.
   Ticket MakeDurable(const ProgramDelta& delta, Time now);
 
-  // Starts to copy to future replicas: first `everything`, then each later
+  // Starts to copy to future replicas: first `all_programs`, then each later
   // delta. Nodes that are replicas already need no copy. The current replicas
   // stay in use until the control stream assigns the new set.
   void                        StartCandidates(const std::vector<NodeRef>&      nodes,
-                                              const std::vector<ProgramDelta>& everything, Time now);
+                                              const std::vector<ProgramDelta>& all_programs, Time now);
   // True once every candidate is up to date and the set may be assigned.
   bool                        AreCandidatesReady() const;
   const std::vector<NodeRef>& Candidates() const { return m_candidate_nodes; }
@@ -72,11 +72,11 @@
   bool WantsControlRead() const;
   void OnControlReadStarted(std::uint64_t read);
 
-  bool        IsQuiet() const { return m_waiting.empty() && IsLogged(); }
-  bool        IsLogged() const { return m_unlogged.empty() && m_append == 0; }
+  bool IsQuiet() const { return m_not_durable.empty() && IsLogged(); }
+  bool IsLogged() const { return m_unlogged.empty() && m_append == 0; }
   // True while too much data waits for the log; new work is refused.
-  bool        IsFull() const { return m_bytes > m_settings.max_unlogged; }
-  std::size_t UnloggedBytes() const { return m_bytes; }
+  bool IsFull() const { return m_unlogged_bytes > m_settings.max_unlogged; }
+  std::size_t UnloggedBytes() const { return m_unlogged_bytes; }
 
  private:
   struct Item {
@@ -106,18 +106,18 @@
   Outbox&                     m_outbox;
   std::function<void(Ticket)> m_on_durable;
 
-  std::set<Ticket>         m_waiting;      // not durable yet
+  std::set<Ticket>         m_not_durable;  // not durable yet
   std::vector<ReplicaLink> m_replicas;     // assigned in the control stream
   std::vector<ReplicaLink> m_candidates;   // receiving a full copy
   std::vector<NodeRef> m_candidate_nodes;  // the complete set to be assigned
   std::deque<Item>     m_unlogged;
-  std::size_t          m_bytes = 0;    // of m_unlogged and m_appending
-  std::vector<Item>    m_appending;    // being appended
-  std::uint64_t        m_append = 0;   // number of that append; 0: none
+  std::size_t          m_unlogged_bytes = 0;  // of m_unlogged and m_appending
+  std::vector<Item>    m_appending;           // being appended
+  std::uint64_t        m_append = 0;          // number of that append; 0: none
   std::set<Ticket>     m_unconfirmed;  // logged; control stream not read since
   std::set<Ticket>     m_confirming;   // covered by the read m_control_read
   std::uint64_t        m_control_read = 0;
-  bool m_batch_was_full = false;  // the last append left deltas unlogged
+  bool m_has_backlog = false;  // the last append left deltas unlogged
   Time m_last_flush = 0;
   Time m_retry_at = 0;
 };
--- a/src/yuccawick/core/entry.cc
+++ b/src/yuccawick/core/entry.cc
@@ -10,7 +10,7 @@
 namespace yuccawick::core {
 namespace {
 
-// Engines whose leased prefixes differ by less than this, tokens, count as
+// Engines whose leased prefixes differ by fewer tokens than this count as
 // equal.
 constexpr Tokens kResidentStep = 4096;
 
@@ -36,8 +36,8 @@
 
 std::vector<Command> Entry::Handle(Time now, const Event& event) {
   // A request that arrives after the stop is refused at once.
-  const bool caller = std::holds_alternative<CallerMessage>(event);
-  if (m_stopped && !caller) return {};
+  const bool is_caller_message = std::holds_alternative<CallerMessage>(event);
+  if (m_stopped && !is_caller_message) return {};
   std::visit([&](const auto& e) { On(e, now); }, event);
   if (m_stopped) return m_outbox.Take();
   if (m_draining && m_pending.empty()) {
@@ -53,24 +53,25 @@
   m_tail.OnTick(now);
   m_membership.OnTick(now);
   if (m_tail.IsLogUnavailable() || !m_tail.HasState()) {
-    const NodeRef* ahead = m_membership.PeerAhead();
-    if (ahead != nullptr) m_tail.RequestSnapshot(*ahead);
+    const NodeRef* newer_peer = m_membership.PeerAhead();
+    if (newer_peer != nullptr) m_tail.RequestSnapshot(*newer_peer);
   }
-  std::vector<std::uint64_t> due;
-  std::vector<std::uint64_t> late;
+  std::vector<std::uint64_t> retries_due;
+  std::vector<std::uint64_t> past_deadline;
   std::vector<std::uint64_t> unanswered;
   for (auto& [request, pending] : m_pending) {
     if (now > pending.deadline + m_settings.reply_margin) {
-      late.push_back(request);
+      past_deadline.push_back(request);
     } else if (pending.retry_at != 0 && now >= pending.retry_at) {
-      due.push_back(request);
+      retries_due.push_back(request);
     } else if (pending.retry_at == 0 &&
                now - pending.sent_at > m_settings.resend_after) {
       unanswered.push_back(request);
     }
   }
-  for (const auto request : late) GiveUp(request, Refuse(Reason::kDeadline));
-  for (const auto request : due) TrySend(request, now);
+  for (const auto request : past_deadline)
+    GiveUp(request, Refuse(Reason::kDeadline));
+  for (const auto request : retries_due) TrySend(request, now);
   // Coordinators recognize a repeated request by entry and number, and answer
   // it once.
   for (const auto request : unanswered) Transmit(request, now);
@@ -118,8 +119,9 @@
 
 void Entry::On(const MessageReceived& event, Time now) {
   const bool addressed_here = IsMeant(event.to, m_settings.self);
-  // A reply to an earlier incarnation carries a number that here may belong to
-  // another caller, who would receive the wrong answer.
+  // A reply to an earlier incarnation contains a request number that this
+  // incarnation may have given to another caller, who would receive the wrong
+  // answer.
   if (!addressed_here && m_safeguards.Has(Safeguard::kReplyMatch)) {
     m_outbox.Push(Count{Counter::kStaleMessages, "other_incarnation", 1});
     return;
@@ -172,7 +174,7 @@
 tl::expected<NodeRef, Failure> Entry::ChooseCoordinator(
     const std::string& model, std::uint64_t request) const {
   const Member* best = nullptr;
-  bool          known = false;
+  bool          has_member = false;
   const auto    cost = [&](const Member& m) {
     // Equally loaded nodes are ordered differently for each request.
     return std::tuple(m_membership.LoadOf(m.join.node),
@@ -182,13 +184,13 @@
   for (const auto& [node, member] : m_control.members()) {
     if (member.join.kind != BackendKind::kModel) continue;
     if (member.join.target != model || member.IsClaimed()) continue;
-    known = true;
+    has_member = true;
     if (!m_membership.IsUsable(node)) continue;
     if (best == nullptr || cost(member) < cost(*best)) best = &member;
   }
   if (best != nullptr) return best->join.node;
   return tl::make_unexpected(
-      Refuse(known ? Reason::kHomeUnreachable : Reason::kUnknownBackend));
+      Refuse(has_member ? Reason::kHomeUnreachable : Reason::kUnknownBackend));
 }
 
 tl::expected<NodeRef, Failure> Entry::Target(const Pending& pending) const {
@@ -242,10 +244,10 @@
     pending.waiting_since = now;
     m_outbox.CountRetry(Reason::kHomeUnreachable);
   }
-  const bool over =
+  const bool waited_too_long =
       now - pending.waiting_since > m_settings.max_coordinator_wait ||
       now >= pending.deadline;
-  if (over) return GiveUp(request, Refuse(Reason::kHomeUnreachable));
+  if (waited_too_long) return GiveUp(request, Refuse(Reason::kHomeUnreachable));
   pending.retry_at = now + m_settings.retry.initial_wait;
 }
 
@@ -255,9 +257,9 @@
   const auto it = m_pending.find(request);
   if (it == m_pending.end()) return;
   const bool call = std::holds_alternative<CallRequest>(it->second.message);
-  const bool unsure =
+  const bool run_uncertain =
       it->second.may_have_run && call && failure.ran == Ran::kNo;
-  if (unsure && m_safeguards.Has(Safeguard::kRanAccuracy))
+  if (run_uncertain && m_safeguards.Has(Safeguard::kRanAccuracy))
     failure.ran = Ran::kUnknown;
   m_outbox.CountRefusal(failure.reason);
   m_outbox.Push(ReplyToCaller{
@@ -301,15 +303,16 @@
   Pending* pending = FindFrom(from, request);
   if (pending == nullptr) return;
   if (!ok) {
-    // The only coordinator that received it reports that it did not run.
+    // The only coordinator that received the request reports that it did not
+    // run.
     if (failure.ran == Ran::kNo && pending->attempts == 1)
       pending->may_have_run = false;
     return OnFailure(request, failure, now);
   }
   const auto* answer = std::get_if<CallReply>(&reply);
-  const bool  other_text =
+  const bool  text_differs =
       answer != nullptr && !answer->answer.text.starts_with(pending->streamed);
-  if (other_text) {
+  if (text_differs) {
     // The call ran again after a failure with a text that differs from what the
     // caller has received. A retry returns the complete text.
     const Failure restart{Reason::kHomeUnreachable, Ran::kYes, 1};
@@ -321,10 +324,10 @@
 
 void Entry::OnFailure(std::uint64_t request, const Failure& failure, Time now) {
   Pending&   pending = m_pending.at(request);
-  const bool again = IsRetriable(failure) && pending.streamed.empty() &&
-                     now < pending.deadline && !m_draining &&
-                     m_retries.Take(pending.attempts);
-  if (!again) return GiveUp(request, failure);
+  const bool may_retry = IsRetriable(failure) && pending.streamed.empty() &&
+                         now < pending.deadline && !m_draining &&
+                         m_retries.Take(pending.attempts);
+  if (!may_retry) return GiveUp(request, failure);
   m_outbox.CountRetry(failure.reason);
   ++pending.attempts;
   pending.retry_at =
@@ -334,8 +337,9 @@
 void Entry::OnCoordinatorUnreachable(const NodeRef& node, Time now) {
   for (auto& [request, pending] : m_pending) {
     if (pending.sent_to != node || pending.retry_at != 0) continue;
-    // Sent again to the new coordinator, which recognizes a repeated sequence
-    // by its record of it and an unrepeatable call by its intent.
+    // The request is sent again to the new coordinator, which recognizes a
+    // repeated sequence number by its turn and an unrepeatable call by its
+    // intent.
     pending.retry_at = now;
     pending.waiting_since = now;
     m_outbox.CountRetry(Reason::kHomeUnreachable);
--- a/src/yuccawick/core/executor.cc
+++ b/src/yuccawick/core/executor.cc
@@ -54,9 +54,10 @@
 void Executor::OnDispatch(const NodeRef& from, const Dispatch& dispatch,
                           Time now) {
   const CallKey key{dispatch.call.program, dispatch.call.sequence};
-  const bool    checked = m_safeguards.Has(Safeguard::kIncarnationCheck);
-  if (checked && dispatch.executor != m_self) {
-    // An earlier incarnation may have run it; its state is lost.
+  const bool    checks_incarnation =
+      m_safeguards.Has(Safeguard::kIncarnationCheck);
+  if (checks_incarnation && dispatch.executor != m_self) {
+    // An earlier incarnation, whose state is lost, may have run the call.
     Failure failure = core::Refuse(Reason::kWrongIncarnation);
     if (dispatch.call.unrepeatable)
       failure = {Reason::kOutcomeUnknown, Ran::kUnknown, 0};
@@ -94,7 +95,7 @@
   const bool finished = entry.phase == CallPhase::kDone;
   // A new attempt at a repeatable call runs again.
   if (finished && !repeated && !dispatch.call.unrepeatable) return false;
-  // So does a call that was cancelled before it started.
+  // A call that was cancelled before it started runs again, too.
   if (finished && !repeated && entry.reply.failure.ran == Ran::kNo &&
       !entry.reply.ok)
     return false;
@@ -117,13 +118,13 @@
   entry.order = dispatch;
   entry.arrived = now;
   const Duration wait = WaitAhead(entry, now);
-  const Duration allowed =
+  const Duration allowed_wait =
       std::min<Duration>(dispatch.max_wait, dispatch.call.deadline - now);
-  if (wait > allowed) {
-    // It cannot start in time: refuse now, with a retry delay.
+  if (wait > allowed_wait) {
+    // The call cannot start in time: refuse now, with a retry delay.
     return Refuse(from, dispatch,
                   core::Refuse(Reason::kOverloaded,
-                               RetryDelay(dispatch, wait - allowed)));
+                               RetryDelay(dispatch, wait - allowed_wait)));
   }
   m_entries[key] = std::move(entry);
   m_queue.insert(key);
@@ -133,11 +134,11 @@
 Duration Executor::RetryDelay(const Dispatch& dispatch, Duration min_delay) {
   // Jitter keeps callers from retrying all at once; the minimum keeps them from
   // retrying in a tight loop.
-  const auto spread =
+  const auto jitter =
       static_cast<Duration>(PairHash(ToString(dispatch.call.program),
                                      std::to_string(dispatch.dispatch)) %
                             static_cast<std::uint64_t>(kRetryJitter));
-  return std::max(min_delay, kMinRetryDelay) + spread;
+  return std::max(min_delay, kMinRetryDelay) + jitter;
 }
 
 void Executor::OnCancel(const NodeRef& from, const CancelDispatch& cancel,
@@ -154,9 +155,9 @@
     }
     // An unrepeatable call is left to finish, since stopping it would leave an
     // unknown outcome.
-    const bool stop = entry.phase == CallPhase::kRunning &&
-                      !entry.order.call.unrepeatable && !entry.cancelled;
-    if (!stop) return;
+    const bool must_cancel = entry.phase == CallPhase::kRunning &&
+                             !entry.order.call.unrepeatable && !entry.cancelled;
+    if (!must_cancel) return;
     entry.cancelled = true;
     m_outbox.Push(CancelRun{entry.run});
     return;
@@ -173,13 +174,13 @@
     m_outbox.Send(from, reply);
     return;
   }
-  Offset& highest =
+  Offset& highest_fence =
       m_fences.try_emplace(fence.program, kNoOffset).first->second;
-  highest = std::max(highest, fence.fence);
+  highest_fence = std::max(highest_fence, fence.fence);
   const CallKey key{fence.program, fence.sequence};
   const auto    it = m_entries.find(key);
   if (it != m_entries.end() && it->second.phase == CallPhase::kQueued) {
-    // Still queued: with the fence raised it will never run.
+    // The call is still queued; with the fence raised it will never run.
     m_queue.erase(key);
     GetCallChart().Fire(&it->second.phase, CallEvent::kGiveUp);
     DispatchReply given_up;
@@ -214,7 +215,7 @@
   if (m_settings.kind != BackendKind::kModel) return;
   Prefix& prefix = m_prefixes[key.first];
   prefix.tokens = EstimateTokens(entry.order.prompt);
-  prefix.used = now;
+  prefix.last_used = now;
 }
 
 void Executor::OnRunChunk(const RunChunk& chunk) {
@@ -242,7 +243,7 @@
   reply.failure = done.failure;
   const auto prefix = m_prefixes.find(key.first);
   if (prefix != m_prefixes.end()) {
-    prefix->second.used = now;
+    prefix->second.last_used = now;
     prefix->second.tokens += EstimateTokens(entry.order.call.body) +
                              EstimateTokens(done.answer.text);
   }
@@ -281,7 +282,7 @@
   return call;
 }
 
-Duration Executor::Estimate(const Entry& entry) const {
+Duration Executor::EstimateDuration(const Entry& entry) const {
   const QueuedCall call = Describe(entry);
   const double     prefill = static_cast<double>(call.prompt - call.cached) /
                          m_settings.prefill_tokens_per_ms;
@@ -291,27 +292,31 @@
 }
 
 Duration Executor::WaitAhead(const Entry& entry, Time now) const {
-  const bool fits = FitsInMemory(entry);
-  if (fits && m_runs.size() < m_settings.slots) return 0;
+  const bool fits_in_memory = FitsInMemory(entry);
+  if (fits_in_memory && m_runs.size() < m_settings.slots) return 0;
   const double rank = m_policy.Rank(Describe(entry), now);
-  Duration     work = 0;
+  Duration     total_work = 0;
   for (const auto& key : m_queue) {
-    const Entry& other = m_entries.at(key);
+    const Entry& queued_entry = m_entries.at(key);
     // A call that waits for memory does not delay a call that fits.
-    if (fits && !FitsInMemory(other)) continue;
-    if (m_policy.Rank(Describe(other), now) <= rank) work += Estimate(other);
+    if (fits_in_memory && !FitsInMemory(queued_entry)) continue;
+    if (m_policy.Rank(Describe(queued_entry), now) <= rank)
+      total_work += EstimateDuration(queued_entry);
   }
   // Running calls are assumed to be halfway through.
-  for (const auto& [run, key] : m_runs) work += Estimate(m_entries.at(key)) / 2;
-  return work / static_cast<Duration>(m_settings.slots);
+  for (const auto& [run, key] : m_runs)
+    total_work += EstimateDuration(m_entries.at(key)) / 2;
+  return total_work / static_cast<Duration>(m_settings.slots);
 }
 
 Duration Executor::LoadMs() const {
   if (m_runs.size() + m_queue.size() < m_settings.slots) return 0;
-  Duration work = 0;
-  for (const auto& key : m_queue) work += Estimate(m_entries.at(key));
-  for (const auto& [run, key] : m_runs) work += Estimate(m_entries.at(key)) / 2;
-  return work / static_cast<Duration>(m_settings.slots);
+  Duration total_work = 0;
+  for (const auto& key : m_queue)
+    total_work += EstimateDuration(m_entries.at(key));
+  for (const auto& [run, key] : m_runs)
+    total_work += EstimateDuration(m_entries.at(key)) / 2;
+  return total_work / static_cast<Duration>(m_settings.slots);
 }
 
 void Executor::StartNext(Time now) {
@@ -333,25 +338,26 @@
 
 bool Executor::FitsInMemory(const Entry& entry) const {
   const Tokens prompt = EstimateTokens(entry.order.prompt);
-  const Tokens limit = m_settings.prefix_tokens;
+  const Tokens memory_limit = m_settings.prefix_tokens;
   // Programs that do not fit evict each other's prefixes, and the engine spends
   // its time recomputing prompts. A new program waits until another has ended;
   // small ones are admitted, since they need little memory.
-  if (limit == 0 || prompt * kSmallPromptDivisor < limit) return true;
+  if (memory_limit == 0 || prompt * kSmallPromptDivisor < memory_limit)
+    return true;
   if (m_runs.empty() || m_prefixes.contains(entry.order.call.program))
     return true;
-  return ResidentTokens() + prompt <= limit;
+  return ResidentTokens() + prompt <= memory_limit;
 }
 
 void Executor::ExpireQueued(Time now) {
-  std::vector<CallKey> late;
+  std::vector<CallKey> expired;
   for (const auto& key : m_queue) {
     const Entry& entry = m_entries.at(key);
-    const Time   last = std::min(entry.arrived + entry.order.max_wait,
-                                 entry.order.call.deadline);
-    if (now > last) late.push_back(key);
+    const Time   latest_start = std::min(entry.arrived + entry.order.max_wait,
+                                         entry.order.call.deadline);
+    if (now > latest_start) expired.push_back(key);
   }
-  for (const auto& key : late) {
+  for (const auto& key : expired) {
     Entry& entry = m_entries.at(key);
     m_queue.erase(key);
     GetCallChart().Fire(&entry.phase, CallEvent::kGiveUp);
@@ -370,9 +376,9 @@
   ExpireQueued(now);
   for (const auto& [run, key] : m_runs) {
     Entry&     entry = m_entries.at(key);
-    const bool stop = now > entry.order.call.deadline && !entry.cancelled &&
-                      !entry.order.call.unrepeatable;
-    if (!stop) continue;
+    const bool must_cancel = now > entry.order.call.deadline &&
+                             !entry.cancelled && !entry.order.call.unrepeatable;
+    if (!must_cancel) continue;
     entry.cancelled = true;
     m_outbox.Push(CancelRun{run});
   }
@@ -401,16 +407,18 @@
   });
   std::vector<ProgramId> unused;
   for (const auto& [program, prefix] : m_prefixes) {
-    if (now - prefix.used > m_settings.prefix_hold) unused.push_back(program);
+    if (now - prefix.last_used > m_settings.prefix_hold)
+      unused.push_back(program);
   }
   // A lost release message or a failed coordinator must not leak engine memory,
-  // so every prefix has a lease that only use renews.
+  // so every prefix has a lease that only calls of its program renew.
   for (const auto& program : unused) OnRelease(program);
   std::erase_if(m_fences, [&](const auto& item) {
     const CallKey first{item.first, 0};
     const auto    it = m_entries.lower_bound(first);
-    const bool known = it != m_entries.end() && it->first.first == item.first;
-    return !known && item.second == kNoOffset;
+    const bool    has_calls =
+        it != m_entries.end() && it->first.first == item.first;
+    return !has_calls && item.second == kNoOffset;
   });
 }
 
--- a/src/yuccawick/core/executor.h
+++ b/src/yuccawick/core/executor.h
@@ -77,7 +77,7 @@
   };
   struct Prefix {
     Tokens tokens = 0;
-    Time   used = 0;
+    Time   last_used = 0;
   };
 
   void Refuse(const NodeRef& coordinator, const Dispatch& dispatch,
@@ -96,7 +96,7 @@
   bool FitsInMemory(const Entry& entry) const;
   // Retry delay for the caller, at least `min_delay` ms.
   static Duration RetryDelay(const Dispatch& dispatch, Duration min_delay);
-  Duration        Estimate(const Entry& entry) const;
+  Duration        EstimateDuration(const Entry& entry) const;
   Duration        WaitAhead(const Entry& entry, Time now) const;
   QueuedCall      Describe(const Entry& entry) const;
 
--- a/src/yuccawick/core/membership.cc
+++ b/src/yuccawick/core/membership.cc
@@ -14,12 +14,13 @@
     if (node == self || member.IsClaimed()) continue;
     ranked.emplace_back(PairHash(self.vm, ToString(node)), node);
   }
-  const auto keep = std::min(count, ranked.size());
+  const auto picked_count = std::min(count, ranked.size());
   std::partial_sort(ranked.begin(),
-                    ranked.begin() + static_cast<std::ptrdiff_t>(keep),
+                    ranked.begin() + static_cast<std::ptrdiff_t>(picked_count),
                     ranked.end());
   std::vector<NodeRef> picked;
-  for (std::size_t i = 0; i < keep; ++i) picked.push_back(ranked[i].second);
+  for (std::size_t i = 0; i < picked_count; ++i)
+    picked.push_back(ranked[i].second);
   return picked;
 }
 
@@ -43,7 +44,7 @@
 }
 
 void Membership::Watch(const std::set<NodeRef>& peers, Time now) {
-  const std::set<NodeRef> before = std::exchange(m_watched, peers);
+  const std::set<NodeRef> watched_before = std::exchange(m_watched, peers);
   for (const auto& node : PickPeers(m_self, m_control, m_settings.random_peers))
     m_watched.insert(node);
   m_watched.erase(m_self);
@@ -51,7 +52,7 @@
     Peer& peer = PeerOf(node, now);
     // An unwatched peer may have sent nothing for long. Without a reset it
     // would be claimed as soon as it is watched.
-    if (!before.contains(node)) peer.last_received = now;
+    if (!watched_before.contains(node)) peer.last_received = now;
   }
 }
 
@@ -90,15 +91,15 @@
   for (const auto& entry : list.vms) listed[entry.vm] = entry.leaving;
   // The list lags, so a VM that is missing may be new. Only a VM that was
   // listed before has been removed.
-  for (const auto& [vm, leaving] : m_listed) {
+  for (const auto& [vm, leaving] : m_leaving_by_vm) {
     if (!listed.contains(vm)) m_unlisted.insert(vm);
   }
   for (const auto& [vm, leaving] : listed) m_unlisted.erase(vm);
-  m_listed = std::move(listed);
+  m_leaving_by_vm = std::move(listed);
   for (const auto& [node, member] : m_control.members()) {
     if (node == m_self) continue;
-    const auto it = m_listed.find(node.vm);
-    if (it != m_listed.end() && it->second)
+    const auto it = m_leaving_by_vm.find(node.vm);
+    if (it != m_leaving_by_vm.end() && it->second)
       Fire(&PeerOf(node, now), PeerEvent::kLeave);
   }
 }
@@ -122,10 +123,10 @@
   // timers avoids claims of healthy coordinators.
   const bool paused = m_safeguards.Has(Safeguard::kPauseDetection) &&
                       pause > m_settings.suspect_after / 2;
-  std::erase_if(m_temporary,
+  std::erase_if(m_probed_until,
                 [now](const auto& entry) { return entry.second < now; });
   for (const auto& node : m_watched) Probe(node, paused, now);
-  for (const auto& [node, until] : m_temporary) {
+  for (const auto& [node, end_time] : m_probed_until) {
     if (!m_watched.contains(node)) Probe(node, paused, now);
   }
 }
@@ -142,10 +143,11 @@
 }
 
 void Membership::ProbeTemporarily(const NodeRef& node, Time now) {
-  const bool fresh = !m_temporary.contains(node) && !m_watched.contains(node);
-  Peer&      peer = PeerOf(node, now);
-  if (fresh) peer.last_received = now;
-  m_temporary[node] = now + m_settings.probe_interval;
+  const bool is_new =
+      !m_probed_until.contains(node) && !m_watched.contains(node);
+  Peer& peer = PeerOf(node, now);
+  if (is_new) peer.last_received = now;
+  m_probed_until[node] = now + m_settings.probe_interval;
 }
 
 bool Membership::IsUsable(const NodeRef& node) const {
--- a/src/yuccawick/core/membership.h
+++ b/src/yuccawick/core/membership.h
@@ -77,17 +77,18 @@
   void  Probe(const NodeRef& node, bool paused, Time now);
   Peer& PeerOf(const NodeRef& node, Time now);
 
-  NodeRef                     m_self;
-  MembershipSettings          m_settings;
-  Safeguards                  m_safeguards;
-  const Control&              m_control;
-  Outbox&                     m_outbox;
-  std::map<NodeRef, Peer>     m_peers;
-  std::set<NodeRef>           m_watched;
-  std::map<NodeRef, Time>     m_temporary;  // probed until the given time
-  std::map<std::string, bool> m_listed;    // VM to leaving flag, as last listed
-  std::set<std::string>       m_unlisted;  // VMs removed from the list
-  Time                        m_last_tick = 0;
+  NodeRef                 m_self;
+  MembershipSettings      m_settings;
+  Safeguards              m_safeguards;
+  const Control&          m_control;
+  Outbox&                 m_outbox;
+  std::map<NodeRef, Peer> m_peers;
+  std::set<NodeRef>       m_watched;
+  std::map<NodeRef, Time> m_probed_until;  // probed until the given time
+  std::map<std::string, bool>
+                        m_leaving_by_vm;  // VM to leaving flag, as last listed
+  std::set<std::string> m_unlisted;       // VMs removed from the list
+  Time                  m_last_tick = 0;
 };
 
 // Returns the `count` members that rank highest by a hash of their name and
--- a/src/yuccawick/core/program.cc
+++ b/src/yuccawick/core/program.cc
@@ -43,9 +43,9 @@
     // was never acknowledged; the current owner's turn wins.
     if (!added && turn.fence > it->second.fence) it->second = turn;
   }
-  const bool newer = std::tie(delta.meta.fence, delta.meta.revision) >
-                     std::tie(meta.fence, meta.revision);
-  if (newer || !meta.id.IsSet()) meta = delta.meta;
+  const bool is_newer = std::tie(delta.meta.fence, delta.meta.revision) >
+                        std::tie(meta.fence, meta.revision);
+  if (is_newer || !meta.id.IsSet()) meta = delta.meta;
 }
 
 ProgramDelta ProgramState::ToDelta() const {
--- a/src/yuccawick/core/scheduling.cc
+++ b/src/yuccawick/core/scheduling.cc
@@ -16,8 +16,8 @@
 constexpr double kResidencyUnit = 1000.0;  // tokens
 
 // Upper bound of the priority levels gained by program age, so that old work of
-// a normal class never precedes a new urgent call. Half of it is reached at
-// kHalfAge.
+// a normal class never precedes a new urgent call. Half of this bound is
+// reached at kHalfAge.
 constexpr double kMaxAgeClasses = 4.5;
 constexpr double kHalfAge = 40'000;  // ms
 
@@ -59,9 +59,10 @@
 
 double OldestProgramQueue::Rank(const QueuedCall& call, Time now) const {
   const double aging = Aging(call, now);
-  const auto   under_way = static_cast<double>(now - call.started);
-  const double age = kMaxAgeClasses * under_way / (under_way + kHalfAge);
-  return static_cast<double>(call.priority) - aging - age;
+  const auto   program_age = static_cast<double>(now - call.started);
+  const double age_gain =
+      kMaxAgeClasses * program_age / (program_age + kHalfAge);
+  return static_cast<double>(call.priority) - aging - age_gain;
 }
 
 int LeastLoadedRoute::Choose(
@@ -86,13 +87,13 @@
                                   static_cast<double>(request.cache_weight) /
                                   kFullWeight;
   return Cheapest(candidates, [&](const RouteCandidate& c) {
-    const auto missing =
+    const auto uncached =
         static_cast<double>(std::max<Tokens>(0, request.prompt - c.cached));
     const Duration switch_cost = c.is_coordinator ? 0 : m_switch_cost;
     const double   residency =
         m_residency_cost * static_cast<double>(c.resident) / kResidencyUnit;
     return static_cast<double>(c.wait + switch_cost) + residency +
-           weight * missing / m_prefill_tokens_per_ms;
+           weight * uncached / m_prefill_tokens_per_ms;
   });
 }
 
