--- a/src/yuccawick/backends/backend_client.cc
+++ b/src/yuccawick/backends/backend_client.cc
@@ -63,7 +63,7 @@
   return false;
 }
 
-core::Failure Cancelled() {
+core::Failure CancelledFailure() {
   return {core::Reason::kCancelled, core::Ran::kUnknown, 0};
 }
 
@@ -72,19 +72,19 @@
 core::Failure FailureOf(HttpError error) {
   using core::Ran;
   using core::Reason;
-  const auto retry = core::Info(Reason::kBackendError).retry_after;
+  const auto retry_delay = core::Info(Reason::kBackendError).retry_after;
   switch (error) {
     case HttpError::kNotSent:
       return core::Refuse(Reason::kBackendUnreachable);
     case HttpError::kRefused:
       return core::Refuse(Reason::kBackendError);
     case HttpError::kFailed:
-      return {Reason::kBackendError, Ran::kYes, retry};
+      return {Reason::kBackendError, Ran::kYes, retry_delay};
     case HttpError::kNoAnswer:
     case HttpError::kBadAnswer:
       break;
   }
-  return {Reason::kBackendUnreachable, Ran::kUnknown, retry};
+  return {Reason::kBackendUnreachable, Ran::kUnknown, retry_delay};
 }
 
 core::RunDone EngineClient::Run(const core::RunCall&     command,
@@ -113,11 +113,11 @@
     sent = true;
     out << body << std::flush;
     Poco::Net::HTTPResponse response;
-    auto&                   in = session.receiveResponse(response);
+    auto&                   response_stream = session.receiveResponse(response);
     if (response.getStatus() >= kFirstErrorStatus)
       return fail(FailureOf(ErrorOf(response.getStatus())));
-    for (std::string line; std::getline(in, line);) {
-      if (cancelled) return fail(Cancelled());
+    for (std::string line; std::getline(response_stream, line);) {
+      if (cancelled) return fail(CancelledFailure());
       if (!line.starts_with(kDataPrefix)) continue;
       if (ApplyEvent(line.substr(kDataPrefix.size()), &done, on_chunk)) {
         done.ok = true;
@@ -172,6 +172,6 @@
   return done;
 }
 
-void ServiceClient::Release(const core::ReleasePrefix& /*order*/) const {}
+void ServiceClient::Release(const core::ReleasePrefix& /*command*/) const {}
 
 }  // namespace yuccawick::backends
--- a/src/yuccawick/backends/backend_client.h
+++ b/src/yuccawick/backends/backend_client.h
@@ -1,7 +1,7 @@
 // HTTP clients of backend servers, used by the agent to run calls.
 //
 // Model engines provide the chat completions API with streamed responses, and
-// one more request:
+// a request that releases prefixes:
 //
 //   POST /v1/chat/completions  {"model", "messages", "max_tokens", "stream",
 //                               "priority", "cache_key", "fence"}
--- a/src/yuccawick/backends/http.cc
+++ b/src/yuccawick/backends/http.cc
@@ -40,9 +40,9 @@
     sent = true;
     out << body << std::flush;
     Poco::Net::HTTPResponse response;
-    auto&                   in = session.receiveResponse(response);
+    auto&                   response_stream = session.receiveResponse(response);
     std::string             text;
-    Poco::StreamCopier::copyToString(in, text);
+    Poco::StreamCopier::copyToString(response_stream, text);
     if (response.getStatus() >= kFirstErrorStatus)
       return tl::make_unexpected(ErrorOf(response.getStatus()));
     Poco::JSON::Parser parser;
@@ -64,15 +64,15 @@
 }  // namespace
 
 tl::expected<Endpoint, EndpointError> ParseEndpoint(const std::string& text) {
-  const auto bad = tl::make_unexpected(EndpointError::kNotHostPort);
+  const auto bad_endpoint = tl::make_unexpected(EndpointError::kNotHostPort);
   const auto colon = text.rfind(':');
-  if (colon == std::string::npos || colon == 0) return bad;
+  if (colon == std::string::npos || colon == 0) return bad_endpoint;
   Endpoint endpoint;
   endpoint.host = text.substr(0, colon);
   const char* first = text.data() + colon + 1;
   const char* last = text.data() + text.size();
   const auto [end, error] = std::from_chars(first, last, endpoint.port);
-  if (error != std::errc() || end != last) return bad;
+  if (error != std::errc() || end != last) return bad_endpoint;
   return endpoint;
 }
 
--- a/src/yuccawick/backends/http.h
+++ b/src/yuccawick/backends/http.h
@@ -1,7 +1,7 @@
 // Blocking HTTP exchanges with JSON bodies and typed errors.
 //
-// The errors tell whether the request may have been executed: one that was not
-// sent did not run, one that was sent but not answered may have run.
+// An error tells whether the request may have been executed: a request that was
+// not sent did not run; a request that was sent but not answered may have run.
 #pragma once
 
 #include <Poco/JSON/Object.h>
--- a/src/yuccawick/backends/log_client.cc
+++ b/src/yuccawick/backends/log_client.cc
@@ -13,9 +13,9 @@
 }
 
 core::LogStatus StatusOf(HttpError error) {
-  const bool known =
+  const bool not_executed =
       error == HttpError::kNotSent || error == HttpError::kRefused;
-  return known ? core::LogStatus::kRefused : core::LogStatus::kUnknown;
+  return not_executed ? core::LogStatus::kRefused : core::LogStatus::kUnknown;
 }
 
 void ReadRecordsInto(const Poco::JSON::Object& body, core::ReadDone* done) {
--- a/src/yuccawick/backends/log_client.h
+++ b/src/yuccawick/backends/log_client.h
@@ -5,8 +5,8 @@
 //        -> {"earliest": N, "end": N, "records": [{"offset": N, "data":
 //        "..."}]}
 //
-// A 503 means that nothing was appended. Without a response the outcome is
-// unknown.
+// A 503 means that nothing was appended. Without a response, the records may
+// or may not have been appended.
 #pragma once
 
 #include "yuccawick/backends/http.h"
