--- a/src/yuccawick/core/budget.cc
+++ b/src/yuccawick/core/budget.cc
@@ -185,7 +185,7 @@
   grant.period = AllowanceOf(account, resource).period;
   grant.checkpoint = account->ledger.state(resource);
   // Records of the other resource may lie between; they do not change the
-  // sums of this one.
+  // sums of this resource.
   grant.checkpoint.as_of = account->ledger.next() - 1;
   account->append = m_outbox.Append(GrantStream(customer), {grant});
   account->since = now;
--- a/src/yuccawick/core/durability.h
+++ b/src/yuccawick/core/durability.h
@@ -106,7 +106,7 @@
   Outbox&                     m_outbox;
   std::function<void(Ticket)> m_on_durable;
 
-  std::set<Ticket>         m_not_durable;  // not durable yet
+  std::set<Ticket>         m_not_durable;  // of deltas in progress
   std::vector<ReplicaLink> m_replicas;     // assigned in the control stream
   std::vector<ReplicaLink> m_candidates;   // receiving a full copy
   std::vector<NodeRef> m_candidate_nodes;  // the complete set to be assigned
