--- a/src/yuccawick/core/executor.h
+++ b/src/yuccawick/core/executor.h
@@ -27,7 +27,7 @@
   double      decode_tokens_per_ms = 0.05;  // per call, for wait estimates
   Tokens      prefix_tokens = 0;     // engine memory for prefixes; 0: unknown
   Duration    prefix_hold = 120000;  // ms until an unused prefix is released
-  Duration    clock_margin = 2000;   // ms past its deadline a call is known
+  Duration    clock_margin = 2000;   // ms that a call is kept past its deadline
 };
 
 class Executor {
@@ -77,7 +77,7 @@
   };
   struct Prefix {
     Tokens tokens = 0;
-    Time   used = 0;
+    Time   last_used = 0;
   };
 
   void Refuse(const NodeRef& coordinator, const Dispatch& dispatch,
@@ -96,7 +96,7 @@
   bool FitsInMemory(const Entry& entry) const;
   // Retry delay for the caller, at least `min_delay` ms.
   static Duration RetryDelay(const Dispatch& dispatch, Duration min_delay);
-  Duration        Estimate(const Entry& entry) const;
+  Duration        EstimateDuration(const Entry& entry) const;
   Duration        WaitAhead(const Entry& entry, Time now) const;
   QueuedCall      Describe(const Entry& entry) const;
 
--- a/src/yuccawick/gateway/rate_limiter.h
+++ b/src/yuccawick/gateway/rate_limiter.h
@@ -71,11 +71,11 @@
 
  private:
   struct Waiter {
-    workspaces::ProgramHash program = 0;   // 0 if none
-    bool                    known = true;  // seen by this node, or no program
-    Time                    since = 0;
-    Duration                max_wait = 0;  // ms to wait for a coordinator
-    Done                    done;
+    workspaces::ProgramHash program = 0;  // 0 if none
+    bool     known_program = true;        // seen by this node, or no program
+    Time     since = 0;
+    Duration max_wait = 0;  // ms to wait for a coordinator
+    Done     done;
   };
   struct WorkspaceState {
     workspaces::TokenPool                           pool;
@@ -94,7 +94,7 @@
                                     RateLimitResult* result);
   workspaces::RateRequest BuildRequest(const std::string& workspace,
                                        WorkspaceState*    state) const;
-  // Requests tokens if anyone waits, or ahead of need while they are plenty.
+  // Requests tokens if requests wait, or in advance while tokens are plentiful.
   void                    RequestMore(const std::string& workspace);
   void RequestFromRank(const workspaces::RateRequest& request, std::size_t rank,
                        Time requested_at);
@@ -106,7 +106,8 @@
   void ScheduleRequest(const std::string& workspace, Duration delay);
   // Admits waiting requests with local tokens.
   void ServeWaiting(const std::string& workspace);
-  // Refuses the requests that would wait too long.
+  // Refuses the waiting requests that would wait too long and, while tokens are
+  // scarce, those of new programs.
   void RefuseWaiting(const std::string& workspace, RateLimitOutcome outcome,
                      const workspaces::RateResponse& response);
   RateCoordinator& CoordinatorFor(const std::string& workspace);
@@ -118,7 +119,7 @@
   std::vector<RateCoordinator>* m_coordinators;  // by partition
   CoordinatorLookup             m_rank_coordinators;
   std::unordered_map<std::string, WorkspaceState>   m_workspaces;  // by name
-  // Active programs, with the time they were last seen.
+  // Active programs, with the time at which this node last saw them.
   std::unordered_map<workspaces::ProgramHash, Time> m_programs;
 
   static constexpr Duration kDemandWindow = 400;  // ms
--- a/src/yuccawick/gateway/turn_reader.cc
+++ b/src/yuccawick/gateway/turn_reader.cc
@@ -61,7 +61,8 @@
   ReadNextPage(partition);
 }
 
-// Requests made before a read at the end of the partition are completed by it.
+// Requests made before a read at the end of the partition are completed by that
+// read.
 void TurnReader::ServeWaiting(ScanState* scan) {
   for (ScanRequest& request : scan->waiting) {
     scan->served.push_back(std::move(request));
@@ -96,17 +97,17 @@
           SkipTo(partition, from, result.error().first);
           return;
         }
-        const Duration took = m_loop->now() - began;
-        const bool     in_time = took < m_thresholds->log_timeout;
+        const Duration elapsed = m_loop->now() - began;
+        const bool     in_time = elapsed < m_thresholds->log_timeout;
         if (result) {
-          m_read_size.OnReply(took);
+          m_read_size.OnReply(elapsed);
         } else if (!in_time) {
           m_read_size.OnTimeout();
         }
         // A read on a dropped keep-alive connection fails at once and is
         // repeated. A read that timed out is not: the log is probably
         // overloaded, and repeated reads would keep it so.
-        const bool failed_fast = took < m_thresholds->log_timeout / 2;
+        const bool failed_fast = elapsed < m_thresholds->log_timeout / 2;
         if (!result && failed_fast && !is_retry &&
             result.error().failure == StoreFailure::kUnknown) {
           ReadNextPage(partition, true);
@@ -145,9 +146,10 @@
   scan.records_read += page.records.size();
   // A stale response, or a page without the records that exist: neither proves
   // that a turn does not exist.
-  const bool stale = page.end < from;
-  const bool withheld = page.records.empty() && (!at_end || from < page.end);
-  if (stale || withheld) {
+  const bool is_stale = page.end < from;
+  const bool records_missing =
+      page.records.empty() && (!at_end || from < page.end);
+  if (is_stale || records_missing) {
     EndScan(partition, false);
     return;
   }
@@ -163,18 +165,18 @@
 
 void TurnReader::EndScan(int partition, bool complete) {
   ScanState& scan = ScanOf(partition);
-  const bool sure = complete && m_loop->now() >= scan.complete_after;
+  const bool scan_complete = complete && m_loop->now() >= scan.complete_after;
   const auto served = std::exchange(scan.served, {});
   scan.busy = false;
   m_log->Write(LogEvent::kScan, {{"partition", partition},
-                                 {"complete", sure ? "yes" : "no"},
+                                 {"complete", scan_complete ? "yes" : "no"},
                                  {"offset", scan.plan.from()},
                                  {"end", scan.plan.end()},
                                  {"records", scan.records_read},
                                  {"questions", served.size()}});
-  // Requests made during this scan need one that starts after them.
+  // Requests made during this scan need a scan that starts after them.
   if (!scan.waiting.empty()) BeginScan(partition);
-  for (const ScanRequest& request : served) request.done(sure);
+  for (const ScanRequest& request : served) request.done(scan_complete);
 }
 
 void TurnReader::ApplyRecord(int partition, const LogRecord& record) {
@@ -200,14 +202,15 @@
   if (!partial.parts.emplace(read->part, std::move(read->turn)).second) return;
   partial.position.records.push_back(range);
   if (partial.parts.size() < read->parts) return;
-  const PartialTurn all = std::move(m_partial_turns.extract(key).mapped());
-  programs::Turn    whole = all.parts.begin()->second;
-  for (auto part = std::next(all.parts.begin()); part != all.parts.end();
-       ++part) {
-    whole.input += part->second.input;
-    whole.output += part->second.output;
+  const PartialTurn partial_turn =
+      std::move(m_partial_turns.extract(key).mapped());
+  programs::Turn full_turn = partial_turn.parts.begin()->second;
+  for (auto part = std::next(partial_turn.parts.begin());
+       part != partial_turn.parts.end(); ++part) {
+    full_turn.input += part->second.input;
+    full_turn.output += part->second.output;
   }
-  AddTurn(std::move(whole), all.position);
+  AddTurn(std::move(full_turn), partial_turn.position);
 }
 
 void TurnReader::AddTurn(programs::Turn turn, Position position) {
@@ -267,11 +270,11 @@
 }
 
 Duration TurnReader::UnavailableFor() const {
-  Duration least = m_scans.front().health->UnavailableFor();
+  Duration shortest_outage = m_scans.front().health->UnavailableFor();
   for (const ScanState& scan : m_scans) {
-    least = std::min(least, scan.health->UnavailableFor());
+    shortest_outage = std::min(shortest_outage, scan.health->UnavailableFor());
   }
-  return least;
+  return shortest_outage;
 }
 
 void TurnReader::Probe() {
